--- /dev/null
+++ b/src/gateway/aborted_requests.rs
@@ -0,0 +1,163 @@
+//! Requests that their endpoint aborted: records them and probes whether the endpoint still runs.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use spdlog::info;
+use tokio::sync::OnceCell;
+
+use super::inbound_call::Call;
+use super::node::Gateway;
+use super::upstream::Upstream;
+use crate::kernel::clock::millis;
+use crate::kernel::content::ContentId;
+use crate::kernel::fleet::EndpointEntry;
+
+/// Lifetime of a probe result. An endpoint that exits closes all its connections within
+/// milliseconds, so one probe serves all requests that it aborted.
+const PROBE_RESULT_TTL: Duration = Duration::from_secs(1);
+/// Delay before an endpoint that accepted a connection is probed again; a process closes its open
+/// sockets within a few milliseconds when it exits.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Maximum wait for a probe: an endpoint that has exited refuses a connection within a round trip.
+const PROBE_WAIT_MAX: Duration = Duration::from_millis(50);
+
+/// Whether an endpoint that aborted a response still runs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Presence {
+    /// A process listens at its address.
+    Listens,
+    /// No process listens at its address: it has exited.
+    Ended,
+    /// Not reachable from here, or already draining, so that its exit would not implicate the
+    /// requests that ran there.
+    Unknown,
+}
+
+/// A probe of an endpoint, shared by all requests that it aborted.
+struct PresenceProbe {
+    started_at: Duration,
+    result: Arc<OnceCell<Presence>>,
+}
+
+/// Recent probes by endpoint.
+#[derive(Default)]
+pub(crate) struct PresenceProbes {
+    by_endpoint: Mutex<HashMap<String, PresenceProbe>>,
+}
+
+impl PresenceProbes {
+    /// Returns whether an endpoint still runs. Requests within one second share one probe.
+    async fn presence(
+        &self,
+        upstream: &Upstream,
+        endpoint: &EndpointEntry,
+        now: Duration,
+    ) -> Presence {
+        let result = {
+            let mut probes = self.by_endpoint.lock();
+            probes.retain(|_, probe| now.saturating_sub(probe.started_at) < PROBE_RESULT_TTL);
+            let probe = probes
+                .entry(endpoint.id.clone())
+                .or_insert_with(|| PresenceProbe {
+                    started_at: now,
+                    result: Arc::default(),
+                });
+            probe.result.clone()
+        };
+        *result.get_or_init(|| probe_twice(upstream, endpoint)).await
+    }
+}
+
+/// Probes an endpoint, and once more if it still listens: an exiting process may close a connection
+/// before its listening socket.
+async fn probe_twice(upstream: &Upstream, endpoint: &EndpointEntry) -> Presence {
+    let result = upstream.probe_presence(endpoint).await;
+    if result != Presence::Listens {
+        return result;
+    }
+    tokio::time::sleep(SECOND_PROBE_DELAY).await;
+    upstream.probe_presence(endpoint).await
+}
+
+/// A request that its endpoint aborted.
+struct AbortedRequest {
+    gateway: Arc<Gateway>,
+    request_id: String,
+    fingerprint: ContentId,
+    endpoint: EndpointEntry,
+    ran_for: Duration,
+}
+
+/// Reports that an endpoint aborted a request; `ran_for` is the time since the first event, zero if
+/// there was none.
+///
+/// Waits briefly for the probe of the endpoint, so that its result is known before the request is
+/// retried.
+pub(crate) async fn report(call: &Call, endpoint: EndpointEntry, ran_for: Duration) {
+    let aborted = AbortedRequest {
+        gateway: call.gateway.clone(),
+        request_id: call.head.request_id.clone(),
+        fingerprint: call.fingerprint(),
+        endpoint,
+        ran_for,
+    };
+    let probing = tokio::spawn(aborted.probe_and_record());
+    // The probe continues if this wait times out.
+    let _ = tokio::time::timeout(PROBE_WAIT_MAX, probing).await;
+}
+
+impl AbortedRequest {
+    async fn probe_and_record(self) {
+        let presence = self.endpoint_presence().await;
+        metrics::counter!("larkwick_broken_off_total", "endpoint" => format!("{presence:?}"))
+            .increment(1);
+        if crate::log::admits("endpoint broke off") {
+            info!("endpoint broke off", kv: {
+                request_id = self.request_id.as_str(),
+                content: = self.fingerprint,
+                endpoint = self.endpoint.id.as_str(),
+                presence:?,
+                ran_for_ms: = millis(self.ran_for),
+            });
+        }
+        if presence == Presence::Ended {
+            self.notify_placement();
+            self.gateway
+                .record_crash(self.fingerprint, &self.endpoint, self.ran_for);
+        }
+    }
+
+    /// Stops placements on the crashed endpoint at once. Otherwise, of 185 generations in one run,
+    /// twelve were offered to engines that had already exited, and each cost a retry.
+    fn notify_placement(&self) {
+        let gateway = &self.gateway;
+        let EndpointEntry { id, service, .. } = &self.endpoint;
+        let has_engines = gateway
+            .table()
+            .and_then(|table| table.service(service)?.engine)
+            .is_some();
+        if has_engines {
+            gateway.runs.note_not_taken(service, id, true);
+            gateway.ledgers.changed.notify_one();
+        } else {
+            gateway.health.lock().note_absent(id, gateway.now());
+        }
+    }
+
+    async fn endpoint_presence(&self) -> Presence {
+        let gateway = &self.gateway;
+        let endpoint = &self.endpoint;
+        // The exit of an endpoint that drains, or whose hall is evacuated, is expected.
+        if !gateway.fleet.lock().takes_work(&endpoint.id) {
+            return Presence::Unknown;
+        }
+        let now = gateway.now();
+        gateway
+            .looks
+            .presence(&gateway.upstream, endpoint, now)
+            .await
+    }
+}
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -16,8 +16,8 @@
 use super::peers::SiteService;
 use super::site_store::{self, SiteStore, Subject};
 use super::{
-    coordinator, endpoint_words, engine_reports, follow, heartbeat, operators, run_reports,
-    suspects, tally,
+    coordinator, crash_suspects, endpoint_words, engine_reports, follow, heartbeat, operators,
+    run_reports, tally,
 };
 use crate::daemon::app::metrics_handle;
 use crate::kernel::backoff::Backoff;
@@ -148,7 +148,7 @@
         self.tasks
             .push(tokio::spawn(engine_reports::run(gateway.clone())));
         self.tasks
-            .push(tokio::spawn(suspects::run(gateway.clone())));
+            .push(tokio::spawn(crash_suspects::run(gateway.clone())));
         self.tasks
             .push(tokio::spawn(endpoint_words::run(gateway.clone())));
         self.tasks.push(tokio::spawn(announce(gateway.clone())));
@@ -314,7 +314,7 @@
     let mut rounds: u32 = 0;
     loop {
         tokio::time::sleep(SETTLE_EVERY).await;
-        gateway.look_for_suspension();
+        gateway.check_for_suspension();
         let changes = gateway.fleet.lock().settle(gateway.now());
         follow::tell_changes(&changes);
         gateway.settle_halls();
@@ -332,7 +332,9 @@
         let is_known = |endpoint: &str| known.contains(endpoint);
         gateway.words.rests.lock().tidy(is_known, now);
         gateway.words.permits.tidy(is_known);
-        gateway.upstream.tidy(|endpoint| known.contains(endpoint));
+        gateway
+            .upstream
+            .prune_idle(|endpoint| known.contains(endpoint));
         gateway
             .health
             .lock()
--- /dev/null
+++ b/src/gateway/crash_suspects.rs
@@ -0,0 +1,310 @@
+//! Requests that crash endpoints (crash suspects): recorded when an endpoint crashes under them,
+//! shared with members and the store, and checked before each send.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use rand::RngExt;
+use spdlog::{info, warn};
+
+use super::heartbeat;
+use super::inbound_call::Call;
+use super::node::Gateway;
+use super::ownership::owner_address;
+use super::site_store::{KeptSuspect, SiteStore};
+use crate::error::{Error, ErrorKind};
+use crate::kernel::backoff::Backoff;
+use crate::kernel::content::ContentId;
+use crate::kernel::fleet::EndpointEntry;
+use crate::kernel::suspects::{BEGINNING, Change, End, Told, Verdict, short_hash, software_id};
+use crate::peer::convert::BadField;
+use crate::peer::generated as wire;
+
+/// Interval at which expired suspects are removed and unsaved ones are written to the store.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Initial backoff after a failed write to the store.
+const STORE_RETRY_MIN: Duration = Duration::from_millis(200);
+/// Maximum backoff: once the store is available again, it receives the suspects within this time.
+const STORE_RETRY_MAX: Duration = Duration::from_secs(1);
+/// Role whose owner writes suspects to the store that other members should have written, and
+/// deletes expired ones.
+const KEEPER_ROLE: &str = "contents that endpoints ended under";
+
+/// Decision on whether a request may be sent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// It may be sent to any endpoint.
+    Admitted,
+    /// The request has crashed endpoints. It may be sent to endpoints with other software that has
+    /// completed it, or that tries it once.
+    Restricted {
+        /// Ids of the endpoints to which it must not be sent.
+        excluded: Vec<String>,
+    },
+    /// It must not be sent.
+    Refused,
+}
+
+/// Returns the verdict on a request. The body is hashed only if a suspect has the same fingerprint
+/// head.
+pub(super) fn current_verdict(call: &Call) -> Verdict {
+    let gateway = &call.gateway;
+    if !may_be_known(call) {
+        return Verdict::Sound;
+    }
+    let fingerprint = call.fingerprint();
+    let now = gateway.now();
+    gateway.suspects.lock().verdict(fingerprint, now)
+}
+
+fn may_be_known(call: &Call) -> bool {
+    let suspects = &call.gateway.suspects;
+    // Usually there are no suspects, and nothing has to be hashed.
+    if suspects.lock().is_empty() {
+        return false;
+    }
+    let head = call.fingerprint_head();
+    suspects.lock().knows_head(head)
+}
+
+/// Decides whether a request may be sent; `restricted` says that it was already admitted to some
+/// endpoints.
+pub(super) fn admission(call: &Call, restricted: bool) -> Admission {
+    if restricted || current_verdict(call) != Verdict::Refused {
+        return Admission::Admitted;
+    }
+    let ready: Vec<EndpointEntry> = {
+        let fleet = call.gateway.fleet.lock();
+        fleet.ready(&call.service).cloned().collect()
+    };
+    let Some(proven) = proven_software(call, &ready).or_else(|| begin_software_trial(call, &ready))
+    else {
+        return Admission::Refused;
+    };
+    let other_endpoints = ready.iter();
+    let other_endpoints = other_endpoints.filter(|endpoint| software(endpoint) != proven);
+    let excluded = other_endpoints
+        .map(|endpoint| endpoint.id.clone())
+        .collect();
+    Admission::Restricted { excluded }
+}
+
+/// Returns a software version of the ready endpoints that has completed the request.
+fn proven_software(call: &Call, ready: &[EndpointEntry]) -> Option<u64> {
+    let fingerprint = call.fingerprint();
+    let suspects = call.gateway.suspects.lock();
+    let mut versions = ready.iter().map(software);
+    versions.find(|software| suspects.is_sound_on(fingerprint, *software))
+}
+
+/// Starts a trial of the request on a software version that has not run it, and returns that
+/// version.
+///
+/// Only the owner of the service starts trials, so that a release which does not fix the crash
+/// costs one endpoint rather than one for each instance.
+fn begin_software_trial(call: &Call, ready: &[EndpointEntry]) -> Option<u64> {
+    let gateway = &call.gateway;
+    if owner_address(gateway, &call.service).is_some() {
+        return None;
+    }
+    let fingerprint = call.fingerprint();
+    let now = gateway.now();
+    let trial_software = {
+        let mut suspects = gateway.suspects.lock();
+        let mut versions = ready.iter().map(software);
+        versions.find(|software| suspects.begin_trial(fingerprint, *software, now))
+    }?;
+    info!("crashing content on trial", kv: { content: = fingerprint, service = call.service.as_str() });
+    Some(trial_software)
+}
+
+fn software(endpoint: &EndpointEntry) -> u64 {
+    software_id(&endpoint.service, &endpoint.software)
+}
+
+/// Returns the error for a request that is sent to no endpoint.
+pub(super) fn refusal_error(call: &Call) -> Error {
+    let fingerprint = call.fingerprint();
+    if crate::log::admits("crashing content refused") {
+        info!("crashing content refused", kv: {
+            request_id = call.head.request_id.as_str(), content: = fingerprint, service = call.service.as_str(),
+        });
+    }
+    metrics::counter!("larkwick_suspects_refused_total").increment(1);
+    let message = format!(
+        "endpoints of service {} end when they run this request; not run; ask the operators to let {fingerprint} go",
+        call.service
+    );
+    Error::new(ErrorKind::EndsEndpoints, message)
+}
+
+/// Records that an endpoint responded to a request with success and still runs: the request does
+/// not crash endpoints.
+pub(super) fn record_survived(call: &Call, endpoint: &EndpointEntry) {
+    if !may_be_known(call) {
+        return;
+    }
+    let gateway = &call.gateway;
+    let fingerprint = call.fingerprint();
+    let change = gateway
+        .suspects
+        .lock()
+        .survived(fingerprint, software(endpoint), gateway.now());
+    if change != Change::None {
+        info!("suspected content finished", kv: {
+            content: = fingerprint, endpoint = endpoint.id.as_str(), request_id = call.head.request_id.as_str(),
+        });
+        gateway.suspects_changed.notify_one();
+    }
+}
+
+/// Records that an engine has run a generation beyond its beginning.
+pub(super) fn record_progress(call: &Call) {
+    if !may_be_known(call) {
+        return;
+    }
+    let gateway = &call.gateway;
+    let fingerprint = call.fingerprint();
+    gateway.suspects.lock().ran_on(fingerprint, gateway.now());
+}
+
+impl Gateway {
+    /// Records that an endpoint crashed while it ran a request; `ran_for` is the time since the
+    /// first event.
+    pub(super) fn record_crash(
+        self: &Arc<Self>,
+        fingerprint: ContentId,
+        endpoint: &EndpointEntry,
+        ran_for: Duration,
+    ) {
+        let end = End {
+            endpoint: short_hash(&endpoint.id),
+            software: software(endpoint),
+            beginning: ran_for < BEGINNING,
+        };
+        let change = self.suspects.lock().ended(fingerprint, end, self.now());
+        self.handle_suspect_change(fingerprint, change, "seen here");
+        if change != Change::None {
+            // The caller may retry at once at any instance. With regular heartbeats each 0.5 s, 14
+            // attempts 28 ms apart at three instances crashed nine engines instead of three (six
+            // runs).
+            heartbeat::beat_soon(self);
+        }
+    }
+
+    /// Releases a suspect at the request of an operator, here and, by gossip, at all instances.
+    /// Returns whether it was known.
+    pub(super) fn release_suspect(self: &Arc<Self>, fingerprint: ContentId) -> bool {
+        let was_known = self.suspects.lock().let_go(fingerprint, self.now());
+        if was_known {
+            info!("content let go by an operator", kv: { content: = fingerprint });
+            self.suspects_changed.notify_one();
+            heartbeat::beat_soon(self);
+        }
+        was_known
+    }
+
+    /// Merges suspects that a peer sent.
+    pub(super) fn merge_suspects(
+        self: &Arc<Self>,
+        suspects: Vec<wire::Suspect>,
+    ) -> Result<(), BadField> {
+        for received in suspects {
+            let received: Told = received.try_into()?;
+            let change = self.suspects.lock().take(&received, self.now());
+            self.handle_suspect_change(received.content, change, "member");
+            if change == Change::NowRefused {
+                heartbeat::beat_soon(self);
+            }
+        }
+        Ok(())
+    }
+
+    /// Merges a suspect that the store holds.
+    pub(super) fn merge_stored_suspect(&self, kept: &KeptSuspect) {
+        let received = kept.told(self.clock.unix_time());
+        let change = {
+            let mut suspects = self.suspects.lock();
+            let change = suspects.take(&received, self.now());
+            suspects.kept(&received);
+            change
+        };
+        self.handle_suspect_change(received.content, change, "store");
+    }
+
+    /// Returns the suspects to send to peers.
+    pub(super) fn suspect_updates(&self) -> Vec<wire::Suspect> {
+        let updates = self.suspects.lock().news(self.now());
+        updates.iter().map(Into::into).collect()
+    }
+
+    fn handle_suspect_change(&self, fingerprint: ContentId, change: Change, source: &str) {
+        if change == Change::None {
+            return;
+        }
+        self.suspects_changed.notify_one();
+        let (known, refused) = {
+            let suspects = self.suspects.lock();
+            (suspects.len(), suspects.refused())
+        };
+        let gauge = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
+        metrics::gauge!("larkwick_suspects", "kind" => "known").set(gauge(known));
+        metrics::gauge!("larkwick_suspects", "kind" => "refused").set(gauge(refused));
+        if change == Change::NowRefused {
+            warn!("crashing content found", kv: { content: = fingerprint, source, known:, refused: });
+        }
+    }
+
+    fn is_suspect_keeper(&self) -> bool {
+        let live = self.live.view();
+        let keeper = live.owner(KEEPER_ROLE);
+        keeper.is_some_and(|keeper| keeper.name == self.incarnation.name)
+    }
+}
+
+/// Keeps the stored suspects up to date while the instance runs, so that they outlast a loss of all
+/// instances.
+pub(crate) async fn run(gateway: Arc<Gateway>) {
+    let mut backoff = Backoff::new(STORE_RETRY_MIN, STORE_RETRY_MAX);
+    loop {
+        tokio::select! {
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
+            () = gateway.suspects_changed.notified() => {}
+        }
+        match sync_with_store(&gateway).await {
+            Ok(()) => backoff.succeeded(),
+            Err(why) => {
+                if crate::log::admits("content not kept") {
+                    warn!("content not kept", kv: { why = why.as_str() });
+                }
+                let pause = backoff.failed(rand::rng().random_range(0.0..1.0));
+                tokio::time::sleep(pause).await;
+                gateway.suspects_changed.notify_one();
+            }
+        }
+    }
+}
+
+async fn sync_with_store(gateway: &Gateway) -> Result<(), String> {
+    let now = gateway.now();
+    let is_keeper = gateway.is_suspect_keeper();
+    let (unsaved, expired) = {
+        let mut suspects = gateway.suspects.lock();
+        if suspects.is_empty() {
+            return Ok(());
+        }
+        let expired = suspects.expire(now);
+        (suspects.to_keep(is_keeper, now), expired)
+    };
+    for suspect in unsaved {
+        let kept = KeptSuspect::new(suspect.clone(), gateway.clock.unix_time());
+        let written = gateway.store.keep_suspect(&kept).await;
+        written.map_err(|error| error.to_string())?;
+        gateway.suspects.lock().kept(&suspect);
+    }
+    for fingerprint in expired.into_iter().filter(|_| is_keeper) {
+        let dropped = gateway.store.drop_suspect(fingerprint).await;
+        dropped.map_err(|error| error.to_string())?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -0,0 +1,101 @@
+//! Effect of cooldowns and departures of endpoints on calls: where a call may go, whether it waits,
+//! and when its caller may retry.
+
+use std::collections::{BTreeSet, HashSet};
+use std::time::Duration;
+
+use rand::RngExt;
+
+use super::inbound_call::Call;
+use super::node::Gateway;
+use super::site_store::Subject;
+use crate::kernel::fleet::EndpointEntry;
+use crate::kernel::rest::{COME_BACK_SPREAD, Outlook};
+
+impl Gateway {
+    /// Returns whether an endpoint is cooling down for this instance.
+    pub(crate) fn is_cooling_down(&self, endpoint: &str) -> bool {
+        self.words.rests.lock().is_resting(endpoint, self.now())
+    }
+
+    /// Returns whether an endpoint that is cooling down may get a request on behalf of generations
+    /// that already run there. The request must be sent at once.
+    pub(crate) fn admits_work_for_running(&self, endpoint: &str) -> bool {
+        let now = self.now();
+        self.words.rests.lock().admits_relief(endpoint, now)
+    }
+
+    /// Returns the endpoints that get no new requests from here for now: those that are cooling
+    /// down, and those for which no permit is available.
+    pub(super) fn unavailable_endpoints(&self) -> BTreeSet<String> {
+        let mut unavailable = self.cooling_down_endpoints();
+        unavailable.extend(self.words.permits.closed());
+        unavailable
+    }
+
+    /// Returns the endpoints that are cooling down.
+    pub(crate) fn cooling_down_endpoints(&self) -> BTreeSet<String> {
+        let now = self.now();
+        let rests = self.words.rests.lock();
+        rests.resting(now).map(str::to_owned).collect()
+    }
+}
+
+/// Retry delay during an outage of the endpoint list, when no new endpoints become known. Callers
+/// honour up to a third of the time they have left, so a longer delay would mostly be cut short.
+const LIST_OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(3);
+
+/// Minimum retry delay; callers that retry sooner meet the same overload.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
+
+/// Returns when an endpoint of the service becomes available, as far as cooldowns and rate limits
+/// go. `is_excluded` selects the endpoints that the call must not use.
+///
+/// If all endpoints have left during an outage of the endpoint list, new ones become known only
+/// after the outage.
+pub(super) fn cooldown_outlook(
+    call: &Call,
+    is_excluded: impl Fn(&EndpointEntry) -> bool,
+    wait_until: Duration,
+) -> Outlook {
+    let gateway = &call.gateway;
+    let now = gateway.now();
+    let (no_endpoint_ready, ready) = {
+        let fleet = gateway.fleet.lock();
+        let no_endpoint_ready = fleet.ready(&call.service).next().is_none();
+        let ready = fleet.ready(&call.service);
+        let ready = ready.filter(|endpoint| !is_excluded(endpoint));
+        let ready: Vec<String> = ready.map(|endpoint| endpoint.id.clone()).collect();
+        (no_endpoint_ready, ready)
+    };
+    if no_endpoint_ready && gateway.store.is_store_away(Subject::Endpoints) {
+        let until = now + LIST_OUTAGE_RETRY_AFTER;
+        return Outlook::Closed { until };
+    }
+    let unavailable_until = ready.iter().map(|endpoint| {
+        let cooldown_until = gateway.words.rests.lock().until(endpoint, now);
+        cooldown_until.max(gateway.words.permits.none_before(endpoint))
+    });
+    Outlook::of(unavailable_until, wait_until)
+}
+
+/// Returns whether the call can be sent to an available endpoint that was not tried.
+pub(super) fn has_untried_endpoint(call: &Call, tried: &HashSet<String>) -> bool {
+    let unavailable = call.gateway.unavailable_endpoints();
+    let fleet = call.gateway.fleet.lock();
+    let mut ready = fleet.ready(&call.service);
+    ready.any(|endpoint| !tried.contains(&endpoint.id) && !unavailable.contains(&endpoint.id))
+}
+
+/// Returns the delay after which a caller may retry if no endpoint of the service is available for
+/// now; `None` if one is available or may become known at any moment.
+pub(super) fn retry_after_cooldown(call: &Call) -> Option<Duration> {
+    match cooldown_outlook(call, |_| false, Duration::ZERO) {
+        Outlook::Open => None,
+        Outlook::Opens { at: until } | Outlook::Closed { until } => {
+            let remaining = until.saturating_sub(call.gateway.now());
+            let remaining = remaining.max(RETRY_AFTER_MIN);
+            Some(remaining.mul_f64(rand::rng().random_range(1.0..COME_BACK_SPREAD)))
+        }
+    }
+}
--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -1,4 +1,5 @@
-//! Which endpoint a call with one answer goes to: one that was not tried, that fares well, and that bears one more where it is cold.
+//! Selects the endpoint for a call that gets a single response: one that was not tried, weighted by
+//! health, and within its sustainable rate if it is cold.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,25 +10,27 @@
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::pace::Pace;
 
-/// Draws an endpoint that was not tried, by weight; where all were tried, rest, or get no more for now, none. `before_any` is the pace of a
-/// service that has not answered yet.
-pub(super) fn choose(
+/// Returns a random endpoint that was not tried, drawn by weight; `None` if all were tried, are
+/// cooling down or are rate-limited.
+///
+/// `initial_pace` is the response-time estimate of a service that has not responded yet.
+pub(super) fn select_endpoint(
     call: &Call,
     tried: &HashSet<String>,
-    before_any: Pace,
+    initial_pace: Pace,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let now = gateway.now();
-    let closed = gateway.closed();
+    let unavailable = gateway.unavailable_endpoints();
     let mut candidates: Vec<EndpointEntry> = {
         let fleet = gateway.fleet.lock();
         let ready = fleet.ready(&call.service);
         ready
-            .filter(|entry| !tried.contains(&entry.id) && !closed.contains(&entry.id))
+            .filter(|entry| !tried.contains(&entry.id) && !unavailable.contains(&entry.id))
             .cloned()
             .collect()
     };
-    let cold = cold_shares(call, &candidates, now);
+    let cold = cold_start_shares(call, &candidates, now);
     {
         let gate = gateway.cold_gate.lock();
         candidates.retain(|entry| {
@@ -35,15 +38,19 @@
             share.is_none_or(|share| gate.admits(&entry.id, *share, now))
         });
     }
-    let chosen = draw(call, candidates, before_any, now)?;
-    if cold.contains_key(&chosen.id) {
-        gateway.cold_gate.lock().note(&chosen.id, now);
+    let selected = draw_weighted(call, candidates, initial_pace, now)?;
+    if cold.contains_key(&selected.id) {
+        gateway.cold_gate.lock().note(&selected.id, now);
     }
-    Some(chosen)
+    Some(selected)
 }
 
-/// Calls that this instance may send in a second to each of the endpoints that are cold.
-fn cold_shares(call: &Call, candidates: &[EndpointEntry], now: Duration) -> HashMap<String, u32> {
+/// Returns, for each cold endpoint, the calls per second that this instance may send to it.
+fn cold_start_shares(
+    call: &Call,
+    candidates: &[EndpointEntry],
+    now: Duration,
+) -> HashMap<String, u32> {
     let gateway = &call.gateway;
     let service = call.table.service(&call.service);
     let Some(cold_start) = service.and_then(|service| service.cold_start) else {
@@ -60,37 +67,37 @@
     }
     let members = gateway.members.lock();
     let counted = members.counted(now);
-    let others: Vec<&str> = counted
+    let other_instances: Vec<&str> = counted
         .map(|peer| peer.status.incarnation.name.as_str())
         .collect();
     let own_name = &gateway.incarnation.name;
     let shares = cold.into_iter().map(|entry| {
-        let others = others.iter().copied();
-        let share = cold_start.share_by_name(own_name, others, &entry.id);
+        let other_instances = other_instances.iter().copied();
+        let share = cold_start.share_by_name(own_name, other_instances, &entry.id);
         (entry.id.clone(), share)
     });
     shares.collect()
 }
 
-/// Draws one of the candidates by how they fared of late.
-fn draw(
+/// Draws a candidate, weighted by its recent health.
+fn draw_weighted(
     call: &Call,
     candidates: Vec<EndpointEntry>,
-    before_any: Pace,
+    initial_pace: Pace,
     now: Duration,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway.pace(&call.service, before_any).late();
+        let late_after = gateway.pace(&call.service, initial_pace).late();
         let health = gateway.health.lock();
         let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
         candidates.iter().map(weight).collect()
     };
     let total: f64 = weights.iter().sum();
-    let mut left = rand::rng().random_range(0.0..1.0) * total;
+    let mut remaining = rand::rng().random_range(0.0..1.0) * total;
     for (candidate, weight) in candidates.iter().zip(weights) {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return Some(candidate.clone());
         }
     }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -7,9 +7,9 @@
 use spdlog::info;
 use tokio::sync::Notify;
 
-use super::call::AnswerHead;
 use super::follow::tell_changes;
 use super::heartbeat;
+use super::message_heads::ResponseHead;
 use super::node::Gateway;
 use super::permits::PermitDesk;
 use crate::kernel::clock::{Clock, millis};
@@ -44,20 +44,20 @@
     }
 
     /// Takes the word in the head of an answer to a request that was sent then, on a connection to a start of an endpoint.
-    pub(crate) fn take(&self, endpoint: &str, head: &AnswerHead, sent_at: Duration) {
+    pub(crate) fn take(&self, endpoint: &str, head: &ResponseHead, sent_at: Duration) {
         if head.misdirected {
             // Another endpoint answers, and does not say which start of it: its word is nobody's here.
             return;
         }
-        if head.word.leaving {
+        if head.signals.leaving {
             self.told_leaving(endpoint, "answer");
         }
-        if let Some(rest) = head.word.rest {
+        if let Some(rest) = head.signals.rest {
             self.told_rest(endpoint, rest);
         }
-        if head.word.limit != LimitWord::Unsaid || head.request_id.is_some() {
+        if head.signals.limit != LimitWord::Unsaid || head.request_id.is_some() {
             // What shows no sign of the endpoint's own answers does not end a limit.
-            self.told_limit(endpoint, head.word.limit, sent_at);
+            self.told_limit(endpoint, head.signals.limit, sent_at);
         }
     }
 
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -53,7 +53,7 @@
     engine: &EndpointEntry,
     within: Duration,
 ) -> Option<EngineReport> {
-    if gateway.rests(&engine.id) {
+    if gateway.is_cooling_down(&engine.id) {
         // A question can wait, and tells nothing that could not come later.
         return None;
     }
@@ -73,7 +73,7 @@
     let permit = gateway.permit(&engine.service, &engine.id).await;
     let permit = permit.ok_or("the engine takes no more for now")?;
     let upstream = &gateway.upstream;
-    let asked = upstream.ask(engine, request, REPORT_MAX_BYTES, permit);
+    let asked = upstream.send_control_request(engine, request, REPORT_MAX_BYTES, permit);
     let (_, body) = asked.await?;
     engine::decode_report(&body)
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -250,7 +250,7 @@
     match record {
         SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
         SiteRecord::Member(entry) => take_member(gateway, entry),
-        SiteRecord::Suspect(kept) => gateway.take_kept_suspect(&kept),
+        SiteRecord::Suspect(kept) => gateway.merge_stored_suspect(&kept),
         SiteRecord::SuspectGone(content) => gateway.suspects.lock().not_kept(content),
         SiteRecord::HallOrder(order) => gateway.order_hall(&order),
         SiteRecord::EvacuatedHalls(told) => gateway.take_halls(&told, "store"),
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -10,18 +10,18 @@
 use spdlog::info;
 use tokio::sync::mpsc;
 
-use super::answer_body::{AnswerBody, whole};
-use super::broken_off;
-use super::call::SendHead;
+use super::aborted_requests;
 use super::coordinator::{self, Placed};
+use super::crash_suspects::{self, Admission};
+use super::endpoint_cooldowns;
 use super::inbound_call::Call;
+use super::message_heads::EndpointRequestHead;
 use super::relay;
-use super::rests;
+use super::response_body::{ResponseBody, whole};
 use super::runs::{RunCommand, RunHandle};
 use super::started::{Offers, RunGuard, Source, Started, tell_end};
-use super::suspects::{self, Admission};
 use super::takeover::{self, Silence};
-use super::upstream::{Answer, NoConnection, Reuse, SendFailure};
+use super::upstream::{ConnectError, ConnectionReuse, EndpointResponse, SendError};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
 use crate::kernel::engine_ledger::RunDemand;
@@ -49,7 +49,7 @@
 const UNTOLD_MADE_TOKENS: u32 = 500;
 
 /// Answers a call for a generation.
-pub(crate) async fn answer(call: Call) -> Response<AnswerBody> {
+pub(crate) async fn answer(call: Call) -> Response<ResponseBody> {
     call.gateway.count_first_send(&call.service);
     let call = Arc::new(call);
     match start(&call).await {
@@ -66,8 +66,8 @@
     RunDemand {
         run: call.head.request_id.clone(),
         prompt_tokens: tokens.map_or(UNTOLD_PROMPT_TOKENS, |tokens| tokens.prompt_tokens),
-        made_max_tokens: tokens.map_or(UNTOLD_MADE_TOKENS, |tokens| tokens.made_max_tokens),
-        made_hint_tokens: tokens.and_then(|tokens| tokens.made_hint_tokens),
+        made_max_tokens: tokens.map_or(UNTOLD_MADE_TOKENS, |tokens| tokens.generated_max_tokens),
+        made_hint_tokens: tokens.and_then(|tokens| tokens.generated_hint_tokens),
         priority: u32::from(call.priority),
     }
 }
@@ -181,13 +181,15 @@
             break;
         }
         // A request that ends endpoints is sent to no more of them, whatever became of its earlier tries.
-        match suspects::admission(call, offers.restricted) {
-            Admission::Sent => {}
+        match crash_suspects::admission(call, offers.restricted) {
+            Admission::Admitted => {}
             Admission::Restricted { excluded } => {
                 offers.restricted = true;
                 offers.excluded.extend(excluded);
             }
-            Admission::Refused if offers.runs == 0 => return Err(suspects::refused(call)),
+            Admission::Refused if offers.runs == 0 => {
+                return Err(crash_suspects::refusal_error(call));
+            }
             Admission::Refused => {
                 reason.push_str("; endpoints end under it");
                 break;
@@ -309,7 +311,7 @@
     let gateway = &call.gateway;
     let waits_until = gateway.now().saturating_add(wait);
     let is_excluded = |engine: &EndpointEntry| offers.excluded.contains(&engine.id);
-    match rests::outlook(call, is_excluded, waits_until) {
+    match endpoint_cooldowns::cooldown_outlook(call, is_excluded, waits_until) {
         Outlook::Open => true,
         Outlook::Opens { at } => {
             gateway.sleep_until(at).await;
@@ -322,7 +324,7 @@
 /// Engines that are not to be granted: those that did not take it, and those that ask this instance for rest. The owner, whom they did not ask, would
 /// grant them for as long as they look empty.
 fn excluded_now(call: &Call, offers: &Offers) -> Vec<String> {
-    let mut excluded = call.gateway.resting();
+    let mut excluded = call.gateway.cooling_down_endpoints();
     excluded.extend(offers.excluded.iter().cloned());
     excluded.into_iter().collect()
 }
@@ -346,7 +348,9 @@
         ErrorKind::NoRoom,
         format!("service {}: {reason}; not run", call.service),
     )
-    .with_retry_after(rests::come_back_after(call).unwrap_or_else(|| room_expected(call)))
+    .with_retry_after(
+        endpoint_cooldowns::retry_after_cooldown(call).unwrap_or_else(|| room_expected(call)),
+    )
 }
 
 /// When to come back to full engines. A caller comes back once: too soon, it meets the same crowd.
@@ -423,11 +427,11 @@
     // A generation is sent once: on a silent connection it would be lost. A new connection takes a round trip of its goal.
     let connection = gateway
         .upstream
-        .connection(&endpoint, open_max, Reuse::Never)
+        .acquire_connection(&endpoint, open_max, ConnectionReuse::Never)
         .await;
     let connection = connection.map_err(|none| NotStarted::Unsent {
         why: none.to_string(),
-        dead: matches!(none, NoConnection::Refused(_)),
+        dead: matches!(none, ConnectError::Refused(_)),
     })?;
     let permit = match counted_at {
         Some(_) => Some(gateway.permit_of_place(granted, counted_at)),
@@ -435,7 +439,7 @@
     };
     let permit = permit.ok_or(NotStarted::Limited)?;
     may_still_be_sent(call, &endpoint, restricted)?;
-    let send = SendHead {
+    let send = EndpointRequestHead {
         endpoint_id: &endpoint.listed_id,
         time_left: call.time_left(),
         account: call.account.as_deref(),
@@ -451,10 +455,10 @@
     let answered = first_answer(call, &handle.run, last_event_id, sending);
     let answer = match gateway.wait_for(patience, answered).await {
         Some(Ok(answer)) => answer,
-        Some(Err(SendFailure::Unsent(why))) => return Err(unsent(&why)),
-        Some(Err(SendFailure::NoPermit)) => return Err(NotStarted::Limited),
-        Some(Err(SendFailure::MayHaveRun(why))) => {
-            broken_off::note(call, endpoint, Duration::ZERO).await;
+        Some(Err(SendError::Unsent(why))) => return Err(unsent(&why)),
+        Some(Err(SendError::NoPermit)) => return Err(NotStarted::Limited),
+        Some(Err(SendError::MayHaveRun(why))) => {
+            aborted_requests::report(call, endpoint, Duration::ZERO).await;
             return Err(lost(call, ErrorKind::EndpointLost, &why));
         }
         None => return Err(lost(call, ErrorKind::AnswerTimeout, "no event in time")),
@@ -513,10 +517,10 @@
     if !call.gateway.fleet.lock().takes_work(&engine.id) {
         return Err(unsent("the engine is leaving"));
     }
-    if call.gateway.rests(&engine.id) {
+    if call.gateway.is_cooling_down(&engine.id) {
         return Err(NotStarted::Rests);
     }
-    if !restricted && suspects::verdict(call) == Verdict::Refused {
+    if !restricted && crash_suspects::current_verdict(call) == Verdict::Refused {
         return Err(NotStarted::Withheld);
     }
     if call.time_left().is_zero() {
@@ -530,8 +534,8 @@
     call: &Arc<Call>,
     run: &RunHandle,
     last_event_id: Option<&str>,
-    sending: impl Future<Output = Result<Answer, SendFailure>>,
-) -> Result<Answer, SendFailure> {
+    sending: impl Future<Output = Result<EndpointResponse, SendError>>,
+) -> Result<EndpointResponse, SendError> {
     tokio::pin!(sending);
     let mut silence = Silence::from_now();
     let came = last_event_id.and_then(|id| id.parse().ok());
@@ -545,7 +549,7 @@
             break why;
         }
     };
-    let lost = |why: String| SendFailure::MayHaveRun(why);
+    let lost = |why: String| SendError::MayHaveRun(why);
     let taken_over = takeover::take_over(call, run, why).await;
     let continuation = taken_over.ok_or_else(|| lost(why.to_owned()))?;
     let answer = takeover::resume(call, &continuation, last_event_id).await;
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -55,7 +55,7 @@
         departures,
         gossip: None,
         evacuated: Some(evacuated),
-        suspects: gateway.suspect_news(),
+        suspects: gateway.suspect_updates(),
         leaving_endpoints,
         limits: gateway.limit_news(first),
     }
@@ -82,7 +82,7 @@
     }
     gateway.take_leaving_endpoints(&beat.leaving_endpoints);
     gateway.take_limits(beat.limits);
-    gateway.take_suspects(beat.suspects)?;
+    gateway.merge_suspects(beat.suspects)?;
     let departed: Result<Vec<Incarnation>, BadField> = beat
         .departures
         .into_iter()
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -1,4 +1,4 @@
-//! A caller's call on its way through this instance.
+//! A call of a caller while this instance handles it.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -6,38 +6,40 @@
 use bytes::Bytes;
 use http::request::Parts;
 
-use super::call::CallHead;
+use super::message_heads::CallHead;
 use super::node::{Counted, Gateway};
 use crate::kernel::content::{ContentHead, ContentId, HeadId};
 use crate::kernel::route::{Route, RouteTable};
 
-/// A call on its way.
+/// A call in flight.
 pub(crate) struct Call {
     pub(crate) gateway: Arc<Gateway>,
-    /// The configuration at its arrival, for its whole life.
+    /// Configuration at the time of arrival; used until the call ends.
     pub(crate) table: Arc<RouteTable>,
     pub(crate) head: CallHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
     pub(crate) route: Route,
-    /// Service chosen for it.
+    /// Service to which the call is routed.
     pub(crate) service: String,
     /// Name of the client account.
     pub(crate) account: Option<String>,
-    /// 0 is served first.
+    /// Priority; 0 is served first.
     pub(crate) priority: u8,
     pub(crate) arrived: Duration,
-    /// When the caller, or the route, stops waiting.
+    /// Time at which the caller or the route stops waiting.
     pub(crate) deadline: Duration,
-    /// What names it by its content, once asked for: most bodies need never be read for it.
-    pub(crate) content: OnceLock<ContentId>,
-    /// Keeps the instance from stopping.
+    /// Request fingerprint, computed on first use: most calls never need it, so their bodies are
+    /// not hashed.
+    pub(crate) fingerprint: OnceLock<ContentId>,
+    /// Delays the shutdown of the instance until the call ends.
     pub(crate) _counted: Counted,
 }
 
 impl Call {
-    /// What names the head of its content.
-    pub(crate) fn content_head(&self) -> HeadId {
+    /// Returns the fingerprint of everything but the body: method, host, path, client account and
+    /// body length.
+    pub(crate) fn fingerprint_head(&self) -> HeadId {
         let path = self.parts.uri.path_and_query();
         let head = ContentHead {
             method: self.parts.method.as_str(),
@@ -49,18 +51,18 @@
         head.id()
     }
 
-    /// What names it by its content.
-    pub(crate) fn content(&self) -> ContentId {
-        let read = || self.content_head().with_body(&self.body);
-        *self.content.get_or_init(read)
+    /// Returns the request fingerprint, which includes the body.
+    pub(crate) fn fingerprint(&self) -> ContentId {
+        let compute = || self.fingerprint_head().with_body(&self.body);
+        *self.fingerprint.get_or_init(compute)
     }
 
-    /// What is left of the deadline.
+    /// Returns the time left until the deadline; zero if it has passed.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.gateway.now())
     }
 
-    /// Time since its arrival.
+    /// Returns the time since arrival.
     pub(crate) fn age(&self) -> Duration {
         self.gateway.now().saturating_sub(self.arrived)
     }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -13,10 +13,10 @@
 use spdlog::{debug, warn};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::answer_body::{AnswerBody, whole};
-use super::caller;
 use super::node::{Gateway, Stage};
-use super::upstream::notice_dead_peers;
+use super::request_handler;
+use super::response_body::{ResponseBody, whole};
+use super::upstream::enable_dead_peer_detection;
 use crate::kernel::route::CallLimits;
 use crate::platform::{directory, ingress, names};
 
@@ -59,7 +59,7 @@
 
 async fn serve(gateway: Arc<Gateway>, stream: TcpStream, surface: Surface) {
     let _open = gateway.begin_connection();
-    if let Err(error) = notice_dead_peers(&stream) {
+    if let Err(error) = enable_dead_peer_detection(&stream) {
         debug!("connection closed before its first request", kv: { why: = error });
         return;
     }
@@ -100,21 +100,21 @@
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
     surface: Surface,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     Ok(match surface {
-        Surface::Callers => caller::answer(gateway, request).await,
+        Surface::Callers => request_handler::handle(gateway, request).await,
         Surface::Ready => ready(&gateway, &request),
         Surface::Directory => addresses(&gateway, &request),
     })
 }
 
-fn status_only(status: StatusCode) -> Response<AnswerBody> {
+fn status_only(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(whole(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn ready(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn ready(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET || request.uri().path() != names::READY_PATH {
         return status_only(StatusCode::NOT_FOUND);
     }
@@ -125,13 +125,13 @@
     })
 }
 
-fn addresses(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn addresses(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET || request.uri().path() != names::RESOLVE_PATH {
         return status_only(StatusCode::NOT_FOUND);
     }
     let addresses = gateway.caller_addresses(directory::ADDRESSES_MAX);
     if addresses.is_empty() {
-        return ingress::refusal(&gateway.not_ready()).map(whole);
+        return ingress::refusal(&gateway.not_ready_error()).map(whole);
     }
     let valid = gateway.routing.read().directory_valid();
     let mut response = Response::new(whole(directory::encode(&addresses, valid)));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,45 +10,46 @@
 //! | `heartbeat` | which members live |
 //! | `live_members` | the view of the members that live, kept until it changes |
 //! | `listener` | connections of callers |
-//! | `inbound_call`, `answer_body` | a call on its way, and the body of its answer |
+//! | `inbound_call`, `message_heads`, `response_body` | a call in flight, heads of requests and responses, and the response body |
 //! | `halls` | halls that the operator empties |
-//! | `broken_off` | requests that their endpoint broke off |
-//! | `suspects` | contents that endpoints ended under, and what may be sent |
-//! | `held` | calls that come before anything is known |
-//! | `caller` | from a caller's request to its answer |
-//! | `plain_call`, `endpoint_choice` | calls with one answer, and the endpoint that they go to |
+//! | `aborted_requests` | requests that their endpoint aborted, and probes of that endpoint |
+//! | `crash_suspects` | requests that crash endpoints, and whether a request may be sent |
+//! | `held_calls` | calls held until the instance is ready |
+//! | `request_handler` | handles the requests of callers |
+//! | `plain_call`, `endpoint_selection` | calls with a single response, and the selection of their endpoint |
 //! | `generation`, `started`, `relay` | generations: placed, then passed on event by event, also when they move |
 //! | `takeover` | generations whose connection to their engine has gone silent |
-//! | `upstream` | connections to endpoints |
-//! | `endpoint_words`, `rests` | what endpoints say of themselves in any answer; what it means to calls that they ask for rest |
+//! | `upstream` | connection pools of the endpoints |
+//! | `endpoint_words` | what endpoints say of themselves in any answer |
+//! | `endpoint_cooldowns` | effect of endpoint cooldowns on calls |
 //! | `permits` | requests to endpoints that name a limit: who gives the permits for them |
 //! | `runs`, `moves` | the generations served here, and how they move to another engine |
-//! | `waits` | waits that end in time, also where the machine was suspended |
+//! | `suspend_aware_waits` | waits that respect deadlines also after a suspension of the machine |
 //! | `tally` | counts of what grows with the site |
 //! | `engine_reports` | asks engines whether they leave while the list is silent |
 //! | `ownership` | who owns a service's engines |
 //! | `ledgers`, `coordinator` | places and moves, by the owner or alone |
 //! | `run_reports` | what the owners are told |
 
-pub(crate) mod answer_body;
+pub(crate) mod aborted_requests;
 pub mod app;
-pub(crate) mod broken_off;
-pub mod call;
-pub(crate) mod caller;
 pub(crate) mod catch_up;
 pub(crate) mod coordinator;
-pub(crate) mod endpoint_choice;
+pub(crate) mod crash_suspects;
+pub(crate) mod endpoint_cooldowns;
+pub(crate) mod endpoint_selection;
 pub(crate) mod endpoint_words;
 pub(crate) mod engine_reports;
 pub(crate) mod follow;
 pub(crate) mod generation;
 pub(crate) mod halls;
 pub(crate) mod heartbeat;
-pub(crate) mod held;
+pub(crate) mod held_calls;
 pub(crate) mod inbound_call;
 pub(crate) mod ledgers;
 pub(crate) mod listener;
 pub(crate) mod live_members;
+pub mod message_heads;
 pub(crate) mod moves;
 pub(crate) mod node;
 pub(crate) mod operators;
@@ -58,15 +59,15 @@
 pub(crate) mod permits;
 pub(crate) mod plain_call;
 pub(crate) mod relay;
-pub(crate) mod rests;
+pub(crate) mod request_handler;
+pub(crate) mod response_body;
 pub(crate) mod run_reports;
 pub(crate) mod runs;
 pub(crate) mod shared_store;
 pub mod site_store;
 pub(crate) mod started;
 pub(crate) mod subject_cache;
-pub(crate) mod suspects;
+pub(crate) mod suspend_aware_waits;
 pub(crate) mod takeover;
 pub(crate) mod tally;
 pub(crate) mod upstream;
-pub(crate) mod waits;
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -35,7 +35,7 @@
     let (Some(source), Some(target)) = (source, target) else {
         return (MoveResult::NoRoom, "engine unknown or leaving".to_owned());
     };
-    if gateway.rests(&target.id) {
+    if gateway.is_cooling_down(&target.id) {
         return (MoveResult::NoRoom, "the target rests".to_owned());
     }
     if run.endpoint.lock().id != source.id {
@@ -114,7 +114,7 @@
     target: &EndpointEntry,
     stop: bool,
 ) -> Result<Copied, String> {
-    if !gateway.admits_relief(&source.id) {
+    if !gateway.admits_work_for_running(&source.id) {
         return Err("the engine rests".to_owned());
     }
     let request = engine::move_request(source.address, &run.demand.run, target.address, stop)
@@ -123,7 +123,7 @@
         let permit = gateway.permit_soon(&source.service, &source.id).await;
         let permit = permit.ok_or("the engine takes no more for now")?;
         let upstream = &gateway.upstream;
-        let asked = upstream.ask(source, request, ANSWER_MAX_BYTES, permit);
+        let asked = upstream.send_control_request(source, request, ANSWER_MAX_BYTES, permit);
         let (status, body) = asked.await?;
         Ok(engine::decode_moved(status, &body))
     };
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -16,17 +16,17 @@
 use tokio::sync::{Notify, watch};
 use uuid::Uuid;
 
-use super::broken_off::Looks;
+use super::aborted_requests::PresenceProbes;
 use super::endpoint_words::EndpointWords;
-use super::held::HeldCalls;
+use super::held_calls::HeldCalls;
 use super::ledgers::Ledgers;
 use super::live_members::LiveMembers;
 use super::runs::RunRegistry;
 use super::shared_store::SharedStore;
 use super::site_store::{MemberEntry, SiteStore, Subject};
+use super::suspend_aware_waits::Suspensions;
 use super::tally::Tally;
-use super::upstream::{Upstream, open_max};
-use super::waits::Suspensions;
+use super::upstream::{Upstream, connections_per_instance};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::Clock;
 use crate::kernel::cold::ColdGate;
@@ -158,7 +158,7 @@
     /// Wakes the task that has them kept by the store.
     pub(crate) suspects_changed: Notify,
     /// Endpoints that broke off answers of late.
-    pub(crate) looks: Looks,
+    pub(crate) looks: PresenceProbes,
     pub(crate) runs: RunRegistry,
     pub(crate) ledgers: Ledgers,
     pub(crate) peers: Arc<PeerClients>,
@@ -220,7 +220,7 @@
             beaten_soon_at: Mutex::default(),
             entry_lost: Notify::new(),
             own_records_era: Mutex::default(),
-            looks: Looks::default(),
+            looks: PresenceProbes::default(),
             routing: RwLock::new(routing),
             settings,
             started_at: clock.now(),
@@ -376,7 +376,7 @@
         let allowed = table
             .service(service)
             .map_or(u32::MAX, |service| service.connections_max);
-        open_max(allowed, self.instances())
+        connections_per_instance(allowed, self.instances())
     }
 
     /// Counts a first send to a service.
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -157,7 +157,7 @@
     let Ok(content) = content.parse() else {
         return Status::BadRequest;
     };
-    if gateway.let_suspect_go(content) {
+    if gateway.release_suspect(content) {
         Status::NoContent
     } else {
         Status::NotFound
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -1,4 +1,5 @@
-//! Calls with one answer: sent to an endpoint that fares well, and sent again only where nothing can run twice by it.
+//! Calls that get a single response: sent to a healthy endpoint, and retried only if that cannot
+//! run a non-repeatable request twice.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -9,16 +10,16 @@
 use http_body_util::{BodyExt, Limited};
 use spdlog::info;
 
-use super::answer_body::{AnswerBody, whole};
-use super::broken_off;
-use super::call::SendHead;
-use super::endpoint_choice::choose;
+use super::aborted_requests;
+use super::crash_suspects::{self, Admission};
+use super::endpoint_cooldowns;
+use super::endpoint_selection::select_endpoint;
 use super::inbound_call::Call;
+use super::message_heads::EndpointRequestHead;
 use super::node::Gateway;
 use super::permits::Permit;
-use super::rests;
-use super::suspects::{self, Admission};
-use super::upstream::{Answer, RestedWith, Reuse, SendFailure};
+use super::response_body::{ResponseBody, whole};
+use super::upstream::{ConnectionReuse, EndpointResponse, SendError, ServiceIdleConnections};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
 use crate::kernel::fleet::EndpointEntry;
@@ -28,72 +29,77 @@
 use crate::kernel::suspects::Verdict;
 use crate::platform::{engine, ingress};
 
-/// Largest answer that is held whole before it is passed on.
-const ANSWER_MAX_BYTES: usize = 4 << 20;
-/// Sends of one call, those that endpoints refused included.
+/// Largest response body that is buffered before it is forwarded to the caller.
+const RESPONSE_MAX_BYTES: usize = 4 << 20;
+/// Maximum sends of one call, including those that endpoints refused.
 const SENDS_MAX: u32 = 4;
-/// Time to an answer before any was seen; plain services that were measured took 45 ms and varied by 20.
-const ANSWER: Pace = Pace::expecting(0.06, 0.03);
-/// An answer that was not waited for counts as having taken this many times as long, so that patience grows with a slower service.
-const LATE_TIMES: u32 = 2;
-/// An answer is overdue after this many times what all but a few take.
-const OVERDUE_TIMES: u32 = 4;
-/// Endpoints that one call asks for a permit in vain; each costs a question to another instance.
-const VAIN_ASKS_MAX: u32 = 6;
-/// Below this much time left, nothing new is sent.
+/// Response-time estimate of a service that has not responded yet. Plain services took 45 ms and
+/// varied by 20 ms.
+const INITIAL_RESPONSE_TIME: Pace = Pace::expecting(0.06, 0.03);
+/// A timed-out attempt counts as having taken this multiple of its timeout, so that the timeout
+/// grows when a service becomes slower.
+const TIMEOUT_SAMPLE_FACTOR: u32 = 2;
+/// A response is overdue after this multiple of the time within which nearly all responses arrive.
+const OVERDUE_FACTOR: u32 = 4;
+/// Maximum endpoints for which one call requests a permit without a grant; each request may cost a
+/// round trip to another instance.
+const PERMIT_DENIALS_MAX: u32 = 6;
+/// Minimum time left until the deadline for a new send.
 const TIME_LEFT_MIN: Duration = Duration::from_millis(3);
 
-/// A whole answer of an endpoint.
-pub(crate) struct WholeAnswer {
+/// A response of an endpoint with its body buffered.
+pub(crate) struct BufferedResponse {
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt at one endpoint.
 enum Attempt {
-    Answered(WholeAnswer),
-    /// The endpoint says that it did not run the request, or nothing was sent.
+    Answered(BufferedResponse),
+    /// The endpoint declared that it did not run the request, or nothing was sent.
     NotRun(String),
-    /// Endpoints end under it, as was found meanwhile. Nothing was sent.
-    Withheld,
-    /// The endpoint has asked for rest meanwhile. Nothing was sent.
-    Rests,
-    /// The endpoint takes no more from all instances for now. Nothing was sent.
-    Limited,
-    /// Another endpoint is at its address and did not run the request.
+    /// The request fingerprint became refused after the endpoint was selected, because it crashes
+    /// endpoints. Nothing was sent.
+    CrashSuspected,
+    /// The endpoint entered a cooldown after it was selected. Nothing was sent.
+    CoolingDown,
+    /// The rate limit of the endpoint, which all instances share, is exhausted. Nothing was sent.
+    RateLimited,
+    /// A different endpoint runs at the address; it did not run the request.
     Misdirected,
-    /// Sent, and not known whether it ran.
+    /// Sent, and the endpoint may have run the request.
     MayHaveRun(String),
-    /// Sent, and no answer in the time given.
+    /// Sent, without a response before the timeout.
     TimedOut,
 }
 
-/// What became of the attempts so far.
+/// State of a call over all its attempts.
 #[derive(Default)]
 struct Attempts {
-    /// Requests that left this instance, refused ones included.
+    /// Requests sent by this instance, including refused ones.
     sends: u32,
-    /// Endpoints that may have run it.
+    /// Number of sends that an endpoint may have run.
     may_have_run: u32,
     tried: HashSet<String>,
-    /// A failure that an endpoint answered with, kept in case no other attempt does better.
-    failure_answer: Option<WholeAnswer>,
+    /// Last error response of an endpoint; returned if no other attempt succeeds.
+    error_response: Option<BufferedResponse>,
     timed_out: bool,
     last_reason: String,
-    /// Whether endpoints end under its content, and only those with other software may run it.
+    /// Whether the request fingerprint crashes endpoints, so that only endpoints with selected
+    /// other software may run it.
     restricted: bool,
 }
 
-/// Answers a call.
-pub(crate) async fn answer(call: Call) -> Response<AnswerBody> {
+/// Handles a call and returns the response for its caller.
+pub(crate) async fn handle_call(call: Call) -> Response<ResponseBody> {
     let mut attempts = Attempts::default();
     call.gateway.count_first_send(&call.service);
-    let answered = run(&call, &mut attempts).await;
+    let result = run_attempts(&call, &mut attempts).await;
     let took_ms = millis(call.age());
-    let (response, outcome) = match answered {
+    let (response, outcome) = match result {
         Ok(answer) => {
             let status = answer.parts.status.as_u16();
-            (deliver(answer), format!("answered {status}"))
+            (into_response(answer), format!("answered {status}"))
         }
         Err(error) => {
             let response = ingress::refusal(&error).map(whole);
@@ -117,34 +123,34 @@
     response
 }
 
-fn deliver(answer: WholeAnswer) -> Response<AnswerBody> {
+fn into_response(answer: BufferedResponse) -> Response<ResponseBody> {
     let mut response = Response::new(whole(answer.body));
     *response.status_mut() = answer.parts.status;
     *response.headers_mut() = engine::answer_headers(&answer.parts);
     response
 }
 
-async fn run(call: &Call, attempts: &mut Attempts) -> Result<WholeAnswer, Error> {
+async fn run_attempts(call: &Call, attempts: &mut Attempts) -> Result<BufferedResponse, Error> {
     let repeatable = call.route.kind == CallKind::Repeatable;
-    // A request that ends endpoints is sent to no more of them.
-    match suspects::admission(call, false) {
-        Admission::Sent => {}
+    // A request that crashes endpoints is not sent to endpoints with the same software again.
+    match crash_suspects::admission(call, false) {
+        Admission::Admitted => {}
         Admission::Restricted { excluded } => {
             attempts.restricted = true;
             attempts.tried.extend(excluded);
         }
-        Admission::Refused => return Err(suspects::refused(call)),
+        Admission::Refused => return Err(crash_suspects::refusal_error(call)),
     }
     while let Some((endpoint, permit)) = next_endpoint(call, &attempts.tried).await {
-        let is_repeat = attempts.sends > 0;
-        if is_repeat && !call.gateway.take_retry(&call.service) {
+        let is_retry = attempts.sends > 0;
+        if is_retry && !call.gateway.take_retry(&call.service) {
             "retry budget spent".clone_into(&mut attempts.last_reason);
             break;
         }
         attempts.tried.insert(endpoint.id.clone());
         let mut health = HealthGuard::begin(&call.gateway, &endpoint);
-        let attempt = attempt(call, &endpoint, permit, attempts).await;
-        health.failed = endpoint_failed(&attempt);
+        let attempt = send_attempt(call, &endpoint, permit, attempts).await;
+        health.failed = endpoint_failure(&attempt);
         drop(health);
         if matches!(attempt, Attempt::Misdirected) {
             let now = call.gateway.now();
@@ -153,29 +159,29 @@
         match attempt {
             Attempt::Answered(answer) => {
                 let failed = answer.parts.status.is_server_error();
-                if !(failed && repeatable && may_repeat(call, attempts)) {
+                if !(failed && repeatable && may_retry(call, attempts)) {
                     return Ok(answer);
                 }
                 attempts.last_reason = format!("endpoint answered {}", answer.parts.status);
-                attempts.failure_answer = Some(answer);
+                attempts.error_response = Some(answer);
             }
-            Attempt::NotRun(why) => attempts.last_reason = why,
-            Attempt::Withheld => {
+            Attempt::NotRun(reason) => attempts.last_reason = reason,
+            Attempt::CrashSuspected => {
                 "endpoints end under it".clone_into(&mut attempts.last_reason);
-                if attempts.may_have_run == 0 && attempts.failure_answer.is_none() {
-                    return Err(suspects::refused(call));
+                if attempts.may_have_run == 0 && attempts.error_response.is_none() {
+                    return Err(crash_suspects::refusal_error(call));
                 }
                 break;
             }
-            Attempt::Rests => "the endpoint rests".clone_into(&mut attempts.last_reason),
-            Attempt::Limited => {
+            Attempt::CoolingDown => "the endpoint rests".clone_into(&mut attempts.last_reason),
+            Attempt::RateLimited => {
                 "the endpoint takes no more for now".clone_into(&mut attempts.last_reason);
             }
             Attempt::Misdirected => {
                 "another endpoint is at its address".clone_into(&mut attempts.last_reason);
             }
-            Attempt::MayHaveRun(why) => {
-                attempts.last_reason = why;
+            Attempt::MayHaveRun(reason) => {
+                attempts.last_reason = reason;
                 if !repeatable {
                     break;
                 }
@@ -188,57 +194,60 @@
                 }
             }
         }
-        let runs_max = if attempts.restricted {
+        let max_runs = if attempts.restricted {
             1
         } else {
             call.route.attempts_max
         };
-        let out_of_runs = attempts.may_have_run >= runs_max;
-        if out_of_runs || attempts.sends >= SENDS_MAX || call.time_left() < TIME_LEFT_MIN {
+        let has_spent_runs = attempts.may_have_run >= max_runs;
+        if has_spent_runs || attempts.sends >= SENDS_MAX || call.time_left() < TIME_LEFT_MIN {
             break;
         }
     }
-    match attempts.failure_answer.take() {
+    match attempts.error_response.take() {
         Some(answer) => Ok(answer),
-        None => Err(failure(call, attempts)),
+        None => Err(failure_error(call, attempts)),
     }
 }
 
-/// The endpoint to try next, with the permit that it takes. Where all rest or take no more for now, the first one that is to be had within the goal
-/// is waited for.
+/// Returns the next endpoint to try, together with its permit.
+///
+/// If all endpoints are cooling down or rate-limited, waits for the first one that becomes
+/// available early enough to meet the latency objective.
 async fn next_endpoint(call: &Call, tried: &HashSet<String>) -> Option<(EndpointEntry, Permit)> {
     let gateway = &call.gateway;
-    let mut vain_asks = 0;
+    let mut permit_denials = 0;
     loop {
-        if let Some(chosen) = choose(call, tried, ANSWER) {
-            // Without a permit it is not chosen again before one may be had.
+        if let Some(chosen) = select_endpoint(call, tried, INITIAL_RESPONSE_TIME) {
+            // Without a permit the endpoint counts as unavailable until the next permit can be
+            // requested, so it is not selected again before.
             if let Some(permit) = gateway.permit(&call.service, &chosen.id).await {
                 return Some((chosen, permit));
             }
-            vain_asks += 1;
-            if vain_asks >= VAIN_ASKS_MAX || call.time_left() < TIME_LEFT_MIN {
+            permit_denials += 1;
+            if permit_denials >= PERMIT_DENIALS_MAX || call.time_left() < TIME_LEFT_MIN {
                 return None;
             }
             continue;
         }
-        let usual = gateway.pace(&call.service, ANSWER).usual();
-        let waits_until = (call.arrived + call.route.goal).saturating_sub(usual);
+        let typical = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).usual();
+        let wait_until = (call.arrived + call.route.goal).saturating_sub(typical);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
-        match rests::outlook(call, is_tried, waits_until) {
+        match endpoint_cooldowns::cooldown_outlook(call, is_tried, wait_until) {
             Outlook::Opens { at } => gateway.sleep_until(at).await,
             Outlook::Open | Outlook::Closed { .. } => return None,
         }
     }
 }
 
-fn may_repeat(call: &Call, attempts: &Attempts) -> bool {
+fn may_retry(call: &Call, attempts: &Attempts) -> bool {
     attempts.may_have_run < call.route.attempts_max
         && attempts.sends < SENDS_MAX
         && call.age() < call.route.goal
 }
 
-/// The error that tells the truth about all attempts.
-fn failure(call: &Call, attempts: &Attempts) -> Error {
+/// Returns the error that covers all attempts, including whether the request may have run.
+fn failure_error(call: &Call, attempts: &Attempts) -> Error {
     let reason = &attempts.last_reason;
     if attempts.may_have_run > 0 {
         let kind = if attempts.timed_out {
@@ -251,8 +260,8 @@
             format!("service {}: {reason}; it may have run", call.service),
         );
     }
-    let closed_for = rests::come_back_after(call);
-    if attempts.tried.is_empty() && closed_for.is_none() {
+    let retry_after = endpoint_cooldowns::retry_after_cooldown(call);
+    if attempts.tried.is_empty() && retry_after.is_none() {
         return Gateway::no_endpoint(&call.service).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
     }
     let reason = if attempts.tried.is_empty() {
@@ -264,31 +273,32 @@
         ErrorKind::EndpointRefused,
         format!("service {}: {reason}; not run", call.service),
     )
-    .with_retry_after(closed_for.unwrap_or(REFUSED_RETRY_AFTER))
+    .with_retry_after(retry_after.unwrap_or(REFUSED_RETRY_AFTER))
 }
 
 /// Endpoints that left are replaced within seconds.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// A full endpoint has a free slot again after a few calls' time.
+/// A full endpoint has a free slot again after the time of a few calls.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Counts a call at an endpoint, also where the caller leaves before its end.
+/// Records a call in the health of its endpoint; dropping it ends the call there, also if the
+/// caller disconnects early.
 struct HealthGuard<'a> {
     gateway: &'a Gateway,
     endpoint: &'a EndpointEntry,
-    begun: Duration,
-    /// Whether the endpoint failed, where that is known.
+    began_at: Duration,
+    /// Whether the endpoint failed; `None` if unknown.
     failed: Option<bool>,
 }
 
 impl<'a> HealthGuard<'a> {
     fn begin(gateway: &'a Gateway, endpoint: &'a EndpointEntry) -> Self {
-        let begun = gateway.now();
-        gateway.health.lock().begin(&endpoint.id, begun);
+        let began_at = gateway.now();
+        gateway.health.lock().begin(&endpoint.id, began_at);
         Self {
             gateway,
             endpoint,
-            begun,
+            began_at,
             failed: None,
         }
     }
@@ -298,57 +308,60 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut health = self.gateway.health.lock();
-        health.end(&self.endpoint.id, self.begun, self.failed, now);
+        health.end(&self.endpoint.id, self.began_at, self.failed, now);
     }
 }
 
-/// What an attempt says of its endpoint.
-fn endpoint_failed(attempt: &Attempt) -> Option<bool> {
+/// Returns whether the endpoint failed in an attempt; `None` if the attempt does not show it.
+fn endpoint_failure(attempt: &Attempt) -> Option<bool> {
     match attempt {
-        // An endpoint's own failures say little: some calls fail everywhere.
+        // Server errors say little about the health of an endpoint: some calls fail everywhere.
         Attempt::Answered(answer) if answer.parts.status.is_server_error() => None,
         Attempt::Answered(_) => Some(false),
-        Attempt::Withheld | Attempt::Rests | Attempt::Limited => None,
+        Attempt::CrashSuspected | Attempt::CoolingDown | Attempt::RateLimited => None,
         Attempt::NotRun(_) | Attempt::Misdirected | Attempt::MayHaveRun(_) | Attempt::TimedOut => {
             Some(true)
         }
     }
 }
 
-async fn attempt(
+async fn send_attempt(
     call: &Call,
     endpoint: &EndpointEntry,
     permit: Permit,
     attempts: &mut Attempts,
 ) -> Attempt {
     let gateway = &call.gateway;
-    let open_max = gateway.connections_max(&call.table, &call.service);
-    // A first attempt without an answer may have gone out on a connection that went silent while it rested; the next one must not.
+    let max_open = gateway.connections_max(&call.table, &call.service);
+    // The first attempt may have timed out because its idle connection had gone silent; the next
+    // attempt must not run the same risk.
     let reuse = if attempts.may_have_run > 0 {
-        Reuse::Never
+        ConnectionReuse::Never
     } else {
-        Reuse::Allowed
+        ConnectionReuse::Allowed
     };
-    let connection = gateway.upstream.connection(endpoint, open_max, reuse);
+    let connection = gateway
+        .upstream
+        .acquire_connection(endpoint, max_open, reuse);
     let connection = match connection.await {
         Ok(connection) => connection,
-        Err(none) => return Attempt::NotRun(none.to_string()),
+        Err(error) => return Attempt::NotRun(error.to_string()),
     };
-    // News of a departure may have come since the choice.
+    // The endpoint may have started to leave since it was selected.
     if !gateway.fleet.lock().takes_work(&endpoint.id) {
         return Attempt::NotRun("the endpoint is leaving".to_owned());
     }
-    if gateway.rests(&endpoint.id) {
-        return Attempt::Rests;
+    if gateway.is_cooling_down(&endpoint.id) {
+        return Attempt::CoolingDown;
     }
-    if !attempts.restricted && suspects::verdict(call) == Verdict::Refused {
-        return Attempt::Withheld;
+    if !attempts.restricted && crash_suspects::current_verdict(call) == Verdict::Refused {
+        return Attempt::CrashSuspected;
     }
-    // Its time may be over since the choice: the machine may have been suspended.
+    // The deadline may have passed since the selection, for example if the machine was suspended.
     if call.time_left() < TIME_LEFT_MIN {
         return Attempt::NotRun("no time left".to_owned());
     }
-    let send = SendHead {
+    let send = EndpointRequestHead {
         endpoint_id: &endpoint.listed_id,
         time_left: call.time_left(),
         account: call.account.as_deref(),
@@ -361,111 +374,117 @@
         Err(error) => return Attempt::NotRun(error.to_string()),
     };
     attempts.sends += 1;
-    let patience = patience(call, attempts);
-    let is_given_up = patience < call.time_left();
-    let rested = connection.rested_with();
-    let overdue_after = gateway.pace(&call.service, ANSWER).late() * OVERDUE_TIMES;
-    let answered = Box::pin(async {
-        let answer = connection.send(request, permit).await?;
-        read_whole(gateway, &call.head.request_id, answer).await
+    let timeout = attempt_timeout(call, attempts);
+    let may_give_up = timeout < call.time_left();
+    let idle_connections = connection.service_idle_connections();
+    let overdue_after = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).late() * OVERDUE_FACTOR;
+    let response = Box::pin(async {
+        let response = connection.send(request, permit).await?;
+        read_response(gateway, &call.head.request_id, response).await
     });
-    let answered = distrusting(rested.as_ref(), overdue_after, answered);
-    let answered = gateway.wait_for(patience, answered);
+    let response = await_response(idle_connections.as_ref(), overdue_after, response);
+    let response = gateway.wait_for(timeout, response);
     let sent_at = gateway.now();
-    let attempt = match answered.await {
+    let attempt = match response.await {
         Some(Ok(attempt)) => {
             let took = gateway.now().saturating_sub(sent_at);
-            gateway.note_pace(&call.service, ANSWER, took);
+            gateway.note_pace(&call.service, INITIAL_RESPONSE_TIME, took);
             attempt
         }
-        Some(Err(SendFailure::Unsent(why))) => Attempt::NotRun(why),
-        Some(Err(SendFailure::NoPermit)) => {
+        Some(Err(SendError::Unsent(reason))) => Attempt::NotRun(reason),
+        Some(Err(SendError::NoPermit)) => {
             attempts.sends -= 1;
-            Attempt::Limited
+            Attempt::RateLimited
         }
-        Some(Err(SendFailure::MayHaveRun(why))) => {
-            broken_off::note(call, endpoint.clone(), Duration::ZERO).await;
-            Attempt::MayHaveRun(why)
+        Some(Err(SendError::MayHaveRun(reason))) => {
+            aborted_requests::report(call, endpoint.clone(), Duration::ZERO).await;
+            Attempt::MayHaveRun(reason)
         }
         None => {
-            if is_given_up {
-                gateway.note_pace(&call.service, ANSWER, patience * LATE_TIMES);
+            if may_give_up {
+                gateway.note_pace(
+                    &call.service,
+                    INITIAL_RESPONSE_TIME,
+                    timeout * TIMEOUT_SAMPLE_FACTOR,
+                );
             }
-            if let Some(rested) = &rested {
-                rested.distrust();
+            if let Some(idle_connections) = &idle_connections {
+                idle_connections.restrict_reuse();
             }
             Attempt::TimedOut
         }
     };
     if matches!(&attempt, Attempt::Answered(answer) if answer.parts.status.is_success()) {
-        suspects::note_survived(call, endpoint);
+        crash_suspects::record_survived(call, endpoint);
     }
     if !matches!(
         attempt,
-        Attempt::NotRun(_) | Attempt::Misdirected | Attempt::Limited
+        Attempt::NotRun(_) | Attempt::Misdirected | Attempt::RateLimited
     ) {
         attempts.may_have_run += 1;
     }
     attempt
 }
 
-/// Waits for an answer. Where it is overdue on a connection that had rested, other calls need not go out on those that rested with it: a call that
-/// cannot be sent again waits for its answer to the end.
-async fn distrusting<T>(
-    rested: Option<&RestedWith>,
+/// Waits for a response. If it is overdue on a reused connection, restricts the reuse of the other
+/// idle connections of the service, which may have gone silent as well. The wait itself goes on: a
+/// call that cannot be retried waits until its deadline.
+async fn await_response<T>(
+    idle_connections: Option<&ServiceIdleConnections>,
     overdue_after: Duration,
-    answered: impl Future<Output = T>,
+    response: impl Future<Output = T>,
 ) -> T {
-    let Some(rested) = rested else {
-        return answered.await;
+    let Some(idle_connections) = idle_connections else {
+        return response.await;
     };
-    tokio::pin!(answered);
-    if let Ok(answered) = tokio::time::timeout(overdue_after, &mut answered).await {
-        return answered;
+    tokio::pin!(response);
+    if let Ok(completed) = tokio::time::timeout(overdue_after, &mut response).await {
+        return completed;
     }
-    rested.distrust();
-    answered.await
+    idle_connections.restrict_reuse();
+    response.await
 }
 
-/// How long this attempt may take: all that is left, unless another one can follow in time.
-fn patience(call: &Call, attempts: &Attempts) -> Duration {
+/// Returns the timeout of this attempt: the time left until the deadline, or less if another
+/// attempt can follow.
+fn attempt_timeout(call: &Call, attempts: &Attempts) -> Duration {
     let left = call.time_left();
-    // With nobody else to ask, an answer that comes late is better than none.
-    let another = call.route.kind == CallKind::Repeatable
+    // Without another endpoint to try, a late response is better than none.
+    let can_retry = call.route.kind == CallKind::Repeatable
         && attempts.may_have_run + 1 < call.route.attempts_max
-        && rests::has_another(call, &attempts.tried);
-    if another {
-        let pace = call.gateway.pace(&call.service, ANSWER);
+        && endpoint_cooldowns::has_untried_endpoint(call, &attempts.tried);
+    if can_retry {
+        let pace = call.gateway.pace(&call.service, INITIAL_RESPONSE_TIME);
         left.min(pace.patience(call.route.goal.saturating_sub(call.age())))
     } else {
         left
     }
 }
 
-/// Reads an answer to its end and looks whether it is the answer to this request.
-async fn read_whole(
+/// Reads a response to its end and checks that it belongs to this request.
+async fn read_response(
     gateway: &Gateway,
     request_id: &str,
-    answer: Answer,
-) -> Result<Attempt, SendFailure> {
-    let Answer {
+    response: EndpointResponse,
+) -> Result<Attempt, SendError> {
+    let EndpointResponse {
         parts,
         head,
         body,
         connection,
-    } = answer;
+    } = response;
     if head
         .request_id
         .as_deref()
         .is_some_and(|id| id != request_id)
     {
-        let why = "the answer belongs to another request".to_owned();
-        return Err(SendFailure::MayHaveRun(why));
+        let reason = "the answer belongs to another request".to_owned();
+        return Err(SendError::MayHaveRun(reason));
     }
-    let collected = Limited::new(body, ANSWER_MAX_BYTES).collect().await;
+    let collected = Limited::new(body, RESPONSE_MAX_BYTES).collect().await;
     let body = collected
-        .map_err(|error| SendFailure::MayHaveRun(format!("the answer broke off: {error}")))?;
-    gateway.upstream.give_back(connection, &head);
+        .map_err(|error| SendError::MayHaveRun(format!("the answer broke off: {error}")))?;
+    gateway.upstream.return_to_pool(connection, &head);
     if head.misdirected {
         return Ok(Attempt::Misdirected);
     }
@@ -477,10 +496,10 @@
     }
     let is_success = parts.status.is_success();
     if is_success && (!head.sealed || head.encoded || head.request_id.is_none()) {
-        let why = "the answer is not the endpoint's own".to_owned();
-        return Err(SendFailure::MayHaveRun(why));
+        let reason = "the answer is not the endpoint's own".to_owned();
+        return Err(SendError::MayHaveRun(reason));
     }
-    Ok(Attempt::Answered(WholeAnswer {
+    Ok(Attempt::Answered(BufferedResponse {
         parts,
         body: body.to_bytes(),
     }))
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -12,15 +12,15 @@
 use spdlog::info;
 use tokio::sync::mpsc;
 
-use super::answer_body::{AnswerBody, BodyBroken};
-use super::broken_off;
+use super::aborted_requests;
+use super::crash_suspects;
 use super::generation;
 use super::inbound_call::Call;
+use super::response_body::{ResponseAborted, ResponseBody};
 use super::runs::{Continuation, RunCommand};
 use super::started::{Offers, RunGuard, Source, Started, tell_end};
-use super::suspects;
 use super::takeover::{self, Silence};
-use super::upstream::Answer;
+use super::upstream::EndpointResponse;
 use crate::kernel::clock::millis;
 use crate::kernel::suspects::BEGINNING;
 use crate::platform::engine;
@@ -79,7 +79,7 @@
 }
 
 /// The answer to the caller, passed on as it comes.
-pub(crate) fn answer(call: Arc<Call>, started: Started) -> Response<AnswerBody> {
+pub(crate) fn answer(call: Arc<Call>, started: Started) -> Response<ResponseBody> {
     let parts = &started.source.answer.parts;
     let mut response = Response::new(());
     *response.status_mut() = parts.status;
@@ -114,7 +114,7 @@
 }
 
 impl Relay {
-    async fn next(&mut self) -> Option<Result<Frame<Bytes>, BodyBroken>> {
+    async fn next(&mut self) -> Option<Result<Frame<Bytes>, ResponseAborted>> {
         if self.ended {
             return None;
         }
@@ -208,7 +208,7 @@
         let first_event_at = *self.first_event_at.get_or_insert(now);
         if !self.ran_on && now.saturating_sub(first_event_at) > BEGINNING {
             self.ran_on = true;
-            suspects::note_ran_on(&self.call);
+            crash_suspects::record_progress(&self.call);
         }
         let made = self.events.saturating_mul(self.event_tokens);
         let handle = &self.handle.run;
@@ -268,7 +268,7 @@
         let endpoint = self.handle.run.endpoint.lock().clone();
         let now = self.call.gateway.now();
         let ran_for = self.first_event_at.map(|at| now.saturating_sub(at));
-        broken_off::note(&self.call, endpoint, ran_for.unwrap_or_default()).await;
+        aborted_requests::report(&self.call, endpoint, ran_for.unwrap_or_default()).await;
     }
 
     /// The source broke off: the place to go on is about to be known, or it may begin anew, or it is the end.
@@ -386,7 +386,7 @@
         Ok(())
     }
 
-    async fn try_at(&self, continuation: &Continuation) -> Result<Answer, String> {
+    async fn try_at(&self, continuation: &Continuation) -> Result<EndpointResponse, String> {
         let begun = self.call.gateway.now();
         let after = self.last_event_id.as_deref();
         let resumed = takeover::resume(&self.call, continuation, after);
@@ -407,16 +407,16 @@
     fn finish(&mut self) {
         self.ended = true;
         let engine = self.handle.run.endpoint.lock().clone();
-        suspects::note_survived(&self.call, &engine);
+        crash_suspects::record_survived(&self.call, &engine);
         tell_end(&self.call, "whole", "", self.events, self.moves);
         self.source = None;
     }
 
-    fn fail(&mut self, why: &str) -> BodyBroken {
+    fn fail(&mut self, why: &str) -> ResponseAborted {
         self.ended = true;
         self.source = None;
         tell_end(&self.call, "broken", why, self.events, self.moves);
-        BodyBroken(why.to_owned())
+        ResponseAborted(why.to_owned())
     }
 }
 
--- a/src/gateway/caller.rs
+++ b/src/gateway/request_handler.rs
@@ -1,4 +1,5 @@
-//! From a caller's request to its answer: head, route, key, body, then the way that fits the route.
+//! Handles the requests of callers: reads the head, resolves the route, checks the API key, reads
+//! the body and passes the call to the handler of its route kind.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -10,25 +11,25 @@
 use rand::RngExt;
 use spdlog::info;
 
-use super::answer_body::{AnswerBody, whole};
-use super::call::CallHead;
 use super::inbound_call::Call;
+use super::message_heads::CallHead;
 use super::node::{Gateway, Stage};
+use super::response_body::{ResponseBody, whole};
 use super::site_store::Subject;
-use super::{generation, held, plain_call};
+use super::{generation, held_calls, plain_call};
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::clock::millis;
 use crate::kernel::route::{CallKind, Route, RouteTable};
 use crate::platform::ingress;
 
-/// Longest wait for the next part of a body.
-const BODY_PAUSE_MAX: Duration = Duration::from_secs(5);
+/// Maximum wait for the next frame of a body.
+const BODY_FRAME_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Gateway {
-    /// The error for a call that comes before the configuration is known.
-    pub(crate) fn not_ready(&self) -> Error {
+    /// Returns the error for a call that arrives before the configuration is known.
+    pub(crate) fn not_ready_error(&self) -> Error {
         let retry_after = if self.store.is_failing(Subject::Configuration) {
-            STORE_AWAY_RETRY_AFTER
+            STORE_OUTAGE_RETRY_AFTER
         } else {
             NOT_READY_RETRY_AFTER
         };
@@ -40,46 +41,46 @@
     }
 }
 
-/// A start takes about this long once the store answers.
+/// A start takes about this long once the store responds.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// While the store is away and no member knows a configuration, nothing can be answered before it returns. Outages on the users' sites last
-/// 4.5 to 9 s; at any moment of one about half of that is left.
-const STORE_AWAY_RETRY_AFTER: Duration = Duration::from_secs(3);
+/// During a store outage in which no member knows a configuration, no call can be served before the
+/// store returns. Outages at the sites last 4.5 to 9 s, and on average half of that remains.
+const STORE_OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// Answers a caller's request.
-pub(crate) async fn answer(
+/// Handles a request of a caller and returns its response.
+pub(crate) async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = gateway.now();
     let stage = gateway.in_flight.stage();
-    let answered = match take(&gateway, request, arrived).await {
+    let response = match accept_call(&gateway, request, arrived).await {
         Ok(call) => match call.route.kind {
             CallKind::Generation => generation::answer(call).await,
-            CallKind::Once | CallKind::Repeatable => plain_call::answer(call).await,
+            CallKind::Once | CallKind::Repeatable => plain_call::handle_call(call).await,
         },
         Err(refused) => {
-            tell_refused(&gateway, &refused, arrived);
+            log_refusal(&gateway, &refused, arrived);
             ingress::refusal(&refused.error).map(whole)
         }
     };
-    let mut answered = answered;
+    let mut response = response;
     if stage == Stage::Leaving {
         let close = http::HeaderValue::from_static("close");
-        answered
+        response
             .headers_mut()
             .insert(http::header::CONNECTION, close);
     }
-    answered
+    response
 }
 
 /// A call that was refused before it had a route.
-struct Refused {
+struct RefusedCall {
     request_id: String,
     error: Error,
 }
 
-fn tell_refused(gateway: &Gateway, refused: &Refused, arrived: Duration) {
+fn log_refusal(gateway: &Gateway, refused: &RefusedCall, arrived: Duration) {
     metrics::counter!("larkwick_calls_total", "outcome" => format!("{:?}", refused.error.kind))
         .increment(1);
     if crate::log::admits("call refused") {
@@ -93,28 +94,28 @@
     }
 }
 
-async fn take(
+async fn accept_call(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
     arrived: Duration,
-) -> std::result::Result<Call, Refused> {
+) -> std::result::Result<Call, RefusedCall> {
     let (parts, body) = request.into_parts();
-    let counted = gateway.begin_call();
-    let head = ingress::decode_head(&parts).map_err(|error| Refused {
+    let in_flight_guard = gateway.begin_call();
+    let head = ingress::decode_head(&parts).map_err(|error| RefusedCall {
         request_id: String::new(),
         error,
     })?;
-    let refused = |error| Refused {
+    let refused = |error| RefusedCall {
         request_id: head.request_id.clone(),
         error,
     };
-    held::hold(gateway, &head).await;
+    held_calls::hold_until_ready(gateway, &head).await;
     let table = gateway
         .table()
-        .ok_or_else(|| refused(gateway.not_ready()))?;
-    let routed = route(&table, &head).map_err(refused)?;
-    if !fits_before_stop(gateway, &routed.route, &head) {
-        return Err(refused(stopping()));
+        .ok_or_else(|| refused(gateway.not_ready_error()))?;
+    let routed = resolve_route(&table, &head).map_err(refused)?;
+    if !fits_before_shutdown(gateway, &routed.route, &head) {
+        return Err(refused(stopping_error()));
     }
     let deadline = head.deadline.unwrap_or(routed.route.timeout);
     let deadline = arrived + deadline.min(routed.route.timeout);
@@ -133,28 +134,30 @@
         route: routed.route,
         arrived,
         deadline,
-        content: OnceLock::new(),
-        _counted: counted,
+        fingerprint: OnceLock::new(),
+        _counted: in_flight_guard,
     })
 }
 
-/// Whether a call will surely have its answer before this instance ends; always, where it was not asked to stop.
-fn fits_before_stop(gateway: &Gateway, route: &Route, head: &CallHead) -> bool {
-    let Some(left) = gateway.time_until_stop() else {
+/// Returns whether a call will surely complete before this instance stops; always true if no stop
+/// was requested.
+fn fits_before_shutdown(gateway: &Gateway, route: &Route, head: &CallHead) -> bool {
+    let Some(time_left) = gateway.time_until_stop() else {
         return true;
     };
-    let most = match (&head.tokens, route.kind) {
+    let max_duration = match (&head.tokens, route.kind) {
         (Some(tokens), CallKind::Generation) => {
-            let made_s = f64::from(tokens.made_max_tokens) / MADE_TOKENS_PER_S;
-            FIRST_EVENT_MAX + Duration::from_secs_f64(made_s)
+            let generation_s = f64::from(tokens.generated_max_tokens) / GENERATED_TOKENS_PER_S_MIN;
+            FIRST_EVENT_MAX + Duration::from_secs_f64(generation_s)
         }
         _ => route.timeout,
     };
-    most.min(route.timeout) < left
+    max_duration.min(route.timeout) < time_left
 }
 
-/// The error for a call that would be cut by a planned stop: another instance takes it at once.
-fn stopping() -> Error {
+/// Returns the error for a call that a planned stop would cut short; another instance accepts it at
+/// once.
+fn stopping_error() -> Error {
     Error::new(
         ErrorKind::StandingDown,
         "this instance is stopping; use another address",
@@ -162,14 +165,14 @@
     .with_retry_after(STOPPING_RETRY_AFTER)
 }
 
-/// Time to a first event on engines under load.
+/// Maximum time to the first event on engines under load.
 const FIRST_EVENT_MAX: Duration = Duration::from_secs(2);
-/// Tokens that a generation makes in a second at the least; half of what was measured on crowded engines.
-const MADE_TOKENS_PER_S: f64 = 32.0;
-/// Other instances are ready now.
+/// Minimum generation rate in tokens per second: half of the rate on overloaded engines.
+const GENERATED_TOKENS_PER_S_MIN: f64 = 32.0;
+/// Other instances are ready, so the caller may retry almost at once.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Where a call goes and for whom.
+/// Routing decision: where a call goes and for which client account.
 struct Routed {
     route: Route,
     service: String,
@@ -177,19 +180,20 @@
     priority: u8,
 }
 
-fn route(table: &RouteTable, head: &CallHead) -> Result<Routed> {
+fn resolve_route(table: &RouteTable, head: &CallHead) -> Result<Routed> {
     let route = table.find(&head.host, &head.path)?;
     let account = table.authorize(route, head.key.as_deref())?;
-    let drawn = rand::rng().random_range(0.0..1.0);
+    let draw = rand::rng().random_range(0.0..1.0);
     Ok(Routed {
-        service: route.choose_service(drawn).to_owned(),
+        service: route.choose_service(draw).to_owned(),
         account: account.name().map(str::to_owned),
         priority: account.priority(route),
         route: route.clone(),
     })
 }
 
-/// Reads a body whole: it may have to be sent again, and an endpoint never waits for a slow caller.
+/// Buffers the whole body: it may have to be sent again, and an endpoint must not wait for a slow
+/// caller.
 async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes> {
     let too_large = || {
         Error::new(
@@ -197,23 +201,23 @@
             format!("the body exceeds {max_bytes} bytes"),
         )
     };
-    let told = body.size_hint().lower();
-    if told > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
+    let declared_bytes = body.size_hint().lower();
+    if declared_bytes > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
         return Err(too_large());
     }
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(BODY_PAUSE_MAX, body.frame()).await;
+        let frame = tokio::time::timeout(BODY_FRAME_TIMEOUT, body.frame()).await;
         let frame = frame.map_err(|_| Error::new(ErrorKind::BodyTimeout, "the body stopped"))?;
         let Some(frame) = frame else { break };
         let frame =
             frame.map_err(|error| Error::new(ErrorKind::BadRequest, format!("body: {error}")))?;
         if let Some(data) = frame.data_ref() {
-            whole.extend_from_slice(data);
-            if whole.len() > max_bytes {
+            buffer.extend_from_slice(data);
+            if buffer.len() > max_bytes {
                 return Err(too_large());
             }
         }
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
--- /dev/null
+++ b/src/gateway/response_body.rs
@@ -0,0 +1,21 @@
+//! Body of a response to a caller.
+
+use bytes::Bytes;
+use http_body_util::combinators::UnsyncBoxBody;
+use http_body_util::{BodyExt, Full};
+
+/// Body of a response. An error closes the connection, so that the caller does not take a truncated
+/// response for a complete one.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseAborted>;
+
+/// The response ends early: the rest of its body is not available.
+#[derive(Debug, Clone, thiserror::Error)]
+#[error("response aborted: {0}")]
+pub(crate) struct ResponseAborted(pub(crate) String);
+
+/// Returns a body whose bytes are all available.
+pub(crate) fn whole(body: Bytes) -> ResponseBody {
+    Full::new(body)
+        .map_err(|never| match never {})
+        .boxed_unsync()
+}
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -64,7 +64,7 @@
 
 async fn report(gateway: &Gateway, service: &str, runs: Vec<ReportedRun>) {
     let not_taken = NotTaken {
-        resting: gateway.resting(),
+        resting: gateway.cooling_down_endpoints(),
         ..gateway.runs.take_not_taken(service)
     };
     let own_name = &gateway.incarnation.name;
--- a/src/gateway/started.rs
+++ b/src/gateway/started.rs
@@ -7,18 +7,18 @@
 
 use super::inbound_call::Call;
 use super::runs::{RunCommand, RunHandle};
-use super::upstream::Answer;
+use super::upstream::EndpointResponse;
 use crate::kernel::clock::millis;
 use crate::kernel::event_split::EventSplitter;
 
 /// An engine's answer that is being passed on.
 pub(crate) struct Source {
-    pub(crate) answer: Answer,
+    pub(crate) answer: EndpointResponse,
     pub(crate) splitter: EventSplitter,
 }
 
 impl Source {
-    pub(crate) fn new(answer: Answer) -> Self {
+    pub(crate) fn new(answer: EndpointResponse) -> Self {
         Self {
             answer,
             splitter: EventSplitter::default(),
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -7,11 +7,11 @@
 use rand::seq::IteratorRandom;
 use spdlog::info;
 
-use super::call::{ContinueFrom, SendHead};
 use super::inbound_call::Call;
+use super::message_heads::{ContinueFrom, EndpointRequestHead};
 use super::runs::{Continuation, RunHandle};
-use super::upstream::{Answer, Reuse};
-use super::{engine_reports, moves, suspects};
+use super::upstream::{ConnectionReuse, EndpointResponse};
+use super::{crash_suspects, engine_reports, moves};
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::suspects::Verdict;
 use crate::platform::engine;
@@ -102,7 +102,7 @@
         return None;
     }
     let gateway = &call.gateway;
-    let resting = gateway.resting();
+    let resting = gateway.cooling_down_endpoints();
     let target = {
         let fleet = gateway.fleet.lock();
         let others = fleet.ready(&call.service);
@@ -132,15 +132,15 @@
     call: &Call,
     continuation: &Continuation,
     last_event_id: Option<&str>,
-) -> Result<Answer, String> {
+) -> Result<EndpointResponse, String> {
     let target = &continuation.target;
     if left_long_ago(call, target) {
         return Err("the engine that has its memory left too long ago".to_owned());
     }
-    if suspects::verdict(call) == Verdict::Refused {
+    if crash_suspects::current_verdict(call) == Verdict::Refused {
         return Err("endpoints end under it".to_owned());
     }
-    if !call.gateway.admits_relief(&target.id) {
+    if !call.gateway.admits_work_for_running(&target.id) {
         return Err("the engine that has its memory rests".to_owned());
     }
     let permit = if continuation.counted {
@@ -151,9 +151,11 @@
     };
     let permit = permit.ok_or("the engine that has its memory takes no more for now")?;
     let upstream = &call.gateway.upstream;
-    let connection = upstream.connection(target, usize::MAX, Reuse::Never).await;
+    let connection = upstream
+        .acquire_connection(target, usize::MAX, ConnectionReuse::Never)
+        .await;
     let connection = connection.map_err(|none| none.to_string())?;
-    let send = SendHead {
+    let send = EndpointRequestHead {
         endpoint_id: &target.listed_id,
         time_left: call.time_left(),
         account: call.account.as_deref(),
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints: one request at a time on each, and always known whether a request may have left.
+//! Connection pools of the endpoints. Each connection carries one request at a time, and each error
+//! says whether any byte of the request may have left.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,89 +19,95 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use super::broken_off::Presence;
-use super::call::AnswerHead;
+use super::aborted_requests::Presence;
 use super::endpoint_words::EndpointWords;
+use super::message_heads::ResponseHead;
 use super::permits::Permit;
 use crate::kernel::clock::Clock;
 use crate::kernel::fleet::EndpointEntry;
 use crate::platform::engine;
 
-/// Endpoints stand within milliseconds; beyond this an opening packet was lost or nobody is there.
+/// Endpoints accept connections within milliseconds; a longer wait means that the SYN was lost or
+/// nothing runs at the address.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long sent bytes may stay unacknowledged before the peer counts as dead.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// A silent connection is asked after this long, and again at the same distance.
-const KEEPALIVE: Duration = Duration::from_secs(1);
-/// A connection rests this long before it is used again, so that a surplus answer shows before the next request is sent.
-const REST: Duration = Duration::from_millis(25);
-/// Idle connections are used for this long where the endpoint names no time of its own.
-const IDLE_KEPT: Duration = Duration::from_secs(4);
-/// An endpoint's own time for idle connections is left by this margin.
-const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
-/// Idle connections kept for each endpoint; more than one instance uses at once on an even day.
-const IDLE_MAX: usize = 8;
-/// After an endpoint of a service closed a connection that had rested in place of an answer, or gave none, the service's connections are used again
-/// for this long only after a short rest: its endpoints may forget them sooner than they say, and all may have gone silent.
-const DISTRUSTED_FOR: Duration = Duration::from_secs(10);
-/// The short rest; the shortest time after which the users' servers forget a connection is 300 ms.
-const DISTRUSTED_REST_MAX: Duration = Duration::from_millis(200);
-/// Share of an endpoint's connections that the instances use together; the rest is left for those that come and go.
+/// Time that sent bytes may stay unacknowledged before the peer counts as dead.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum idle time of a connection before its reuse, so that a surplus response arrives, and is
+/// noticed, before the next request is sent.
+const REUSE_MIN_IDLE: Duration = Duration::from_millis(25);
+/// Idle timeout of a connection if the endpoint announces none.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Margin by which the idle timeout here is shorter than the one that the endpoint announces.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_200);
+/// Idle connections kept for each endpoint: more than one instance uses at once under even load.
+const IDLE_CONNECTIONS_MAX: usize = 8;
+/// After an endpoint of a service closed a reused connection instead of responding, or did not
+/// respond on one in time, the connections of the service are reused for this long only after a
+/// short idle time. Its endpoints may drop idle connections sooner than they announce, and all idle
+/// connections may have gone silent.
+const REUSE_RESTRICTED_FOR: Duration = Duration::from_secs(10);
+/// Maximum idle time for reuse while it is restricted; the servers in use drop connections after
+/// 300 ms of idle time at the earliest.
+const RESTRICTED_IDLE_MAX: Duration = Duration::from_millis(200);
+/// Share of the connection limit of an endpoint that all instances use together; the rest is left
+/// for instances that join or leave.
 const CONNECTIONS_SHARE: f64 = 0.85;
 
-/// A connection that could not be had. Nothing was sent.
+/// Failure to get a connection. Nothing was sent.
 #[derive(Debug, Clone, thiserror::Error)]
-pub(crate) enum NoConnection {
-    /// Nobody listens at the address.
+pub(crate) enum ConnectError {
+    /// Nothing listens at the address.
     #[error("{0} refuses connections")]
     Refused(SocketAddr),
-    /// Anything else.
+    /// Any other failure, also an exhausted connection limit.
     #[error("{0}")]
     Other(String),
 }
 
-/// A request without an answer.
+/// Failure of a request that got no response.
 #[derive(Debug, Clone, thiserror::Error)]
-pub(crate) enum SendFailure {
-    /// No byte left.
+pub(crate) enum SendError {
+    /// No byte was sent.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// Bytes may have left.
+    /// Bytes may have been sent, so the endpoint may have run the request.
     #[error("sent without an answer: {0}")]
     MayHaveRun(String),
-    /// No byte left: the endpoint takes no more for now.
+    /// No byte was sent: the rate limit of the endpoint grants no request for now.
     #[error("not sent: the endpoint takes no more for now")]
     NoPermit,
 }
 
-/// Whether a request may go out on a connection that rested. It may have gone silent for good, and tells it by nothing but the answer that does
-/// not come.
+/// Whether a request may be sent on an idle connection. Such a connection may have gone silent,
+/// which shows only in a response that does not arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Reuse {
-    /// A call that is short, or that can be sent again.
+pub(crate) enum ConnectionReuse {
+    /// For calls that are short or can be retried.
     Allowed,
-    /// What would be lost is worth more than a new connection.
+    /// For requests whose loss costs more than a new connection.
     Never,
 }
 
-/// Ends the task that drives a connection when dropped, and with it the connection.
+/// Aborts the task that drives a connection when dropped, which closes the connection.
 #[derive(Debug)]
-struct Driver(AbortHandle);
+struct ConnectionTask(AbortHandle);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Counts an open connection for as long as it lives.
-struct OpenCount {
+/// Counts an open connection against the limit of its endpoint until dropped.
+struct OpenConnectionGuard {
     endpoint: String,
     service: String,
     pools: Arc<Pools>,
 }
 
-impl Drop for OpenCount {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         let mut pools = self.pools.by_endpoint.lock();
         if let Some(pool) = pools.get_mut(&self.endpoint) {
@@ -109,32 +116,33 @@
     }
 }
 
-/// A connection in use; dropped, it is closed.
+/// A connection in use; dropping it closes the connection.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    _driver: Driver,
-    count: OpenCount,
-    /// Whether an earlier request used it.
+    _task: ConnectionTask,
+    open_guard: OpenConnectionGuard,
+    /// Whether an earlier request used the connection.
     pub(crate) reused: bool,
 }
 
-/// The connections of a service that rested beside one in use.
-pub(crate) struct RestedWith {
+/// The idle connections of a service, from which a reused connection was taken.
+pub(crate) struct ServiceIdleConnections {
     service: String,
     pools: Arc<Pools>,
 }
 
-impl RestedWith {
-    /// The one in use gave no answer, or not in time: the others may have gone silent with it.
-    pub(crate) fn distrust(&self) {
-        self.pools.distrust_rest(&self.service);
+impl ServiceIdleConnections {
+    /// Restricts the reuse of these connections: the reused one got no response, or none in time,
+    /// so the others may have gone silent as well.
+    pub(crate) fn restrict_reuse(&self) {
+        self.pools.restrict_reuse(&self.service);
     }
 }
 
-/// An answer whose head has come.
-pub(crate) struct Answer {
+/// A response whose head has arrived.
+pub(crate) struct EndpointResponse {
     pub(crate) parts: Parts,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) connection: Connection,
 }
@@ -142,150 +150,151 @@
 struct Idle {
     connection: Connection,
     since: Duration,
-    kept_for: Duration,
+    idle_timeout: Duration,
 }
 
 #[derive(Default)]
 struct Pool {
     idle: Vec<Idle>,
-    /// In use and idle together.
+    /// Number of open connections, in use and idle.
     open: usize,
 }
 
 struct Pools {
     clock: Arc<dyn Clock>,
-    words: Arc<EndpointWords>,
+    signals: Arc<EndpointWords>,
     by_endpoint: Mutex<HashMap<String, Pool>>,
-    /// Services whose connections may not rest for long, and until when.
-    distrusted_until: Mutex<HashMap<String, Duration>>,
+    /// Services whose idle connections may be reused only after a short idle time, and until when.
+    reuse_restricted_until: Mutex<HashMap<String, Duration>>,
 }
 
 impl Pools {
-    /// A request on a connection that had rested came back without an answer.
-    fn distrust_rest(&self, service: &str) {
+    /// Restricts reuse for a service because a request on a reused connection got no response.
+    fn restrict_reuse(&self, service: &str) {
         let now = self.clock.now();
-        let mut distrusted = self.distrusted_until.lock();
-        let before = distrusted.insert(service.to_owned(), now + DISTRUSTED_FOR);
-        if before.is_none_or(|before| before < now) {
+        let mut restricted_until = self.reuse_restricted_until.lock();
+        let previous = restricted_until.insert(service.to_owned(), now + REUSE_RESTRICTED_FOR);
+        if previous.is_none_or(|previous| previous < now) {
             info!("connections at rest are not used again for a while", kv: { service });
         }
     }
 
-    /// How long a connection may have rested that is used again.
-    fn rest_max(&self, service: &str) -> Duration {
-        let distrusted = self.distrusted_until.lock();
-        let until = distrusted.get(service);
+    /// Returns the longest idle time after which a connection of the service may be reused.
+    fn max_idle_time(&self, service: &str) -> Duration {
+        let restricted_until = self.reuse_restricted_until.lock();
+        let until = restricted_until.get(service);
         if until.is_some_and(|until| self.clock.now() < *until) {
-            DISTRUSTED_REST_MAX
+            RESTRICTED_IDLE_MAX
         } else {
             Duration::MAX
         }
     }
 }
 
-/// All connections to endpoints.
+/// Connection pools of all endpoints.
 pub(crate) struct Upstream {
     pools: Arc<Pools>,
     clock: Arc<dyn Clock>,
 }
 
 impl Upstream {
-    pub(crate) fn new(clock: Arc<dyn Clock>, words: Arc<EndpointWords>) -> Self {
+    pub(crate) fn new(clock: Arc<dyn Clock>, signals: Arc<EndpointWords>) -> Self {
         Self {
             pools: Arc::new(Pools {
                 clock: clock.clone(),
-                words,
+                signals,
                 by_endpoint: Mutex::default(),
-                distrusted_until: Mutex::default(),
+                reuse_restricted_until: Mutex::default(),
             }),
             clock,
         }
     }
 
-    /// A connection to an endpoint: an idle one, or a new one while the endpoint's share allows it.
-    pub(crate) async fn connection(
+    /// Returns a connection to an endpoint: an idle one if reuse is allowed, else a new one if
+    /// fewer than `max_open` are open.
+    pub(crate) async fn acquire_connection(
         &self,
         endpoint: &EndpointEntry,
-        open_max: usize,
-        reuse: Reuse,
-    ) -> Result<Connection, NoConnection> {
-        if reuse == Reuse::Allowed
-            && let Some(connection) = self.take_idle(endpoint)
+        max_open: usize,
+        reuse: ConnectionReuse,
+    ) -> Result<Connection, ConnectError> {
+        if reuse == ConnectionReuse::Allowed
+            && let Some(connection) = self.take_reusable(endpoint)
         {
             return Ok(connection);
         }
-        let count = self.count_open(endpoint, open_max)?;
+        let open_guard = self.reserve_slot(endpoint, max_open)?;
         let stream = connect(endpoint.address).await?;
-        let (sender, driven) = handshake(TokioIo::new(stream))
+        let (sender, driver) = handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| NoConnection::Other(error.to_string()))?;
+            .map_err(|error| ConnectError::Other(error.to_string()))?;
         metrics::counter!("larkwick_endpoint_connections_total").increment(1);
         let task = tokio::spawn(async move {
-            // How it ended shows in the request that used it.
-            let _ = driven.await;
+            // Errors of the connection surface in the request that uses it.
+            let _ = driver.await;
         });
         Ok(Connection {
             sender,
-            _driver: Driver(task.abort_handle()),
-            count,
+            _task: ConnectionTask(task.abort_handle()),
+            open_guard,
             reused: false,
         })
     }
 
-    /// Whether an endpoint is there, by a connection that is closed at once.
-    pub(crate) async fn presence(&self, endpoint: &EndpointEntry) -> Presence {
+    /// Checks whether an endpoint accepts connections; the connection is closed at once.
+    pub(crate) async fn probe_presence(&self, endpoint: &EndpointEntry) -> Presence {
         match connect(endpoint.address).await {
             Ok(_) => Presence::Listens,
-            Err(NoConnection::Refused(_)) => Presence::Ended,
-            Err(NoConnection::Other(_)) => Presence::Unknown,
+            Err(ConnectError::Refused(_)) => Presence::Ended,
+            Err(ConnectError::Other(_)) => Presence::Unknown,
         }
     }
 
-    fn count_open(
+    fn reserve_slot(
         &self,
         endpoint: &EndpointEntry,
-        open_max: usize,
-    ) -> Result<OpenCount, NoConnection> {
-        // Closing takes the pools' lock, so it comes before.
-        drop(self.surplus(endpoint, open_max));
+        max_open: usize,
+    ) -> Result<OpenConnectionGuard, ConnectError> {
+        // Closing a connection locks the pools, so it happens before the lock is taken.
+        drop(self.evict_idle_if_full(endpoint, max_open));
         let mut pools = self.pools.by_endpoint.lock();
         let pool = pools.entry(endpoint.id.clone()).or_default();
-        if pool.open >= open_max {
-            let why = format!("{open_max} connections are open");
-            return Err(NoConnection::Other(why));
+        if pool.open >= max_open {
+            let reason = format!("{max_open} connections are open");
+            return Err(ConnectError::Other(reason));
         }
         pool.open += 1;
-        Ok(OpenCount {
+        Ok(OpenConnectionGuard {
             endpoint: endpoint.id.clone(),
             service: endpoint.service.clone(),
             pools: self.pools.clone(),
         })
     }
 
-    /// A connection at rest that has to make room for a new one.
-    fn surplus(&self, endpoint: &EndpointEntry, open_max: usize) -> Option<Idle> {
+    /// Removes an idle connection if the limit is reached, to make room for a new one.
+    fn evict_idle_if_full(&self, endpoint: &EndpointEntry, max_open: usize) -> Option<Idle> {
         let mut pools = self.pools.by_endpoint.lock();
         let pool = pools.get_mut(&endpoint.id)?;
-        let is_full = pool.open >= open_max && !pool.idle.is_empty();
+        let is_full = pool.open >= max_open && !pool.idle.is_empty();
         is_full.then(|| pool.idle.remove(0))
     }
 
-    fn take_idle(&self, endpoint: &EndpointEntry) -> Option<Connection> {
+    fn take_reusable(&self, endpoint: &EndpointEntry) -> Option<Connection> {
         let now = self.clock.now();
-        let rest_max = self.pools.rest_max(&endpoint.service);
+        let max_idle_time = self.pools.max_idle_time(&endpoint.service);
         let mut stale = Vec::new();
-        let mut taken = None;
+        let mut reusable = None;
         {
             let mut pools = self.pools.by_endpoint.lock();
             let pool = pools.get_mut(&endpoint.id)?;
             let mut kept = Vec::new();
             for idle in pool.idle.drain(..).rev() {
                 let age = now.saturating_sub(idle.since);
-                let old = age >= idle.kept_for.min(rest_max);
-                if !idle.connection.sender.is_ready() || old {
+                let is_expired = age >= idle.idle_timeout.min(max_idle_time);
+                if !idle.connection.sender.is_ready() || is_expired {
                     stale.push(idle);
-                } else if taken.is_none() && age >= REST {
-                    taken = Some(idle.connection);
+                } else if reusable.is_none() && age >= REUSE_MIN_IDLE {
+                    reusable = Some(idle.connection);
                 } else {
                     kept.push(idle);
                 }
@@ -293,67 +302,77 @@
             kept.reverse();
             pool.idle = kept;
         }
-        // Closing takes the pools' lock, so it comes after.
+        // Closing a connection locks the pools, so it happens after the lock is released.
         drop(stale);
-        taken
+        reusable
     }
 
-    /// Sends a request that belongs to no caller on a connection of its own, and reads the whole answer: a generation that has to move off its
-    /// engine is lost with an order that goes out on a silent connection.
-    pub(crate) async fn ask(
+    /// Sends a request of the instance itself and returns the status and the whole body.
+    ///
+    /// Always uses a new connection: if the order to move a generation off its engine were lost on
+    /// a silent connection, the generation would be lost with it.
+    pub(crate) async fn send_control_request(
         &self,
         endpoint: &EndpointEntry,
         request: Request<Bytes>,
         body_max_bytes: usize,
         permit: Permit,
     ) -> Result<(u16, Bytes), String> {
-        let connection = self.connection(endpoint, usize::MAX, Reuse::Never).await;
-        let connection = connection.map_err(|none| none.to_string())?;
-        let answer = connection.send(request, permit).await;
-        let answer = answer.map_err(|failure| failure.to_string())?;
-        let body = Limited::new(answer.body, body_max_bytes).collect().await;
+        let connection = self
+            .acquire_connection(endpoint, usize::MAX, ConnectionReuse::Never)
+            .await;
+        let connection = connection.map_err(|error| error.to_string())?;
+        let response = connection.send(request, permit).await;
+        let response = response.map_err(|failure| failure.to_string())?;
+        let body = Limited::new(response.body, body_max_bytes).collect().await;
         let body = body.map_err(|error| error.to_string())?.to_bytes();
-        Ok((answer.head.status, body))
+        Ok((response.head.status, body))
     }
 
-    /// Takes a connection back whose answer was read to its end.
-    pub(crate) fn give_back(&self, mut connection: Connection, head: &AnswerHead) {
-        let kept_for = head.kept_for.map_or(IDLE_KEPT, |told| {
-            told.saturating_sub(IDLE_MARGIN).min(IDLE_KEPT * 2)
+    /// Returns a connection to its pool after its response was read to the end.
+    pub(crate) fn return_to_pool(&self, mut connection: Connection, head: &ResponseHead) {
+        let idle_timeout = head.idle_timeout.map_or(IDLE_TIMEOUT, |announced| {
+            announced
+                .saturating_sub(IDLE_TIMEOUT_MARGIN)
+                .min(IDLE_TIMEOUT * 2)
         });
-        if head.closes || kept_for.is_zero() {
+        if head.closes || idle_timeout.is_zero() {
             return;
         }
         connection.reused = true;
-        let endpoint = connection.count.endpoint.clone();
+        let endpoint = connection.open_guard.endpoint.clone();
         let idle = Idle {
             connection,
             since: self.clock.now(),
-            kept_for,
+            idle_timeout,
         };
-        let surplus = {
+        let evicted = {
             let mut pools = self.pools.by_endpoint.lock();
             let pool = pools.entry(endpoint).or_default();
             pool.idle.push(idle);
-            (pool.idle.len() > IDLE_MAX).then(|| pool.idle.remove(0))
+            (pool.idle.len() > IDLE_CONNECTIONS_MAX).then(|| pool.idle.remove(0))
         };
-        drop(surplus);
+        drop(evicted);
     }
 
-    /// Closes idle connections that are old, and forgets endpoints that are gone.
-    pub(crate) fn tidy(&self, known: impl Fn(&str) -> bool) {
+    /// Closes expired idle connections and those of unknown endpoints, and drops empty pools.
+    pub(crate) fn prune_idle(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
         let mut stale = Vec::new();
         {
             let mut pools = self.pools.by_endpoint.lock();
             for (endpoint, pool) in pools.iter_mut() {
                 let idle = std::mem::take(&mut pool.idle);
-                for one in idle {
-                    let fresh = now.saturating_sub(one.since) < one.kept_for;
-                    if fresh && known(endpoint) && one.connection.sender.is_ready() {
-                        pool.idle.push(one);
+                for idle_connection in idle {
+                    let is_fresh =
+                        now.saturating_sub(idle_connection.since) < idle_connection.idle_timeout;
+                    if is_fresh
+                        && is_known(endpoint)
+                        && idle_connection.connection.sender.is_ready()
+                    {
+                        pool.idle.push(idle_connection);
                     } else {
-                        stale.push(one);
+                        stale.push(idle_connection);
                     }
                 }
             }
@@ -363,8 +382,8 @@
     }
 }
 
-/// Connections that one instance may hold to an endpoint.
-pub(crate) fn open_max(connections_max: u32, instances: usize) -> usize {
+/// Returns the number of connections that one instance may open to an endpoint.
+pub(crate) fn connections_per_instance(connections_max: u32, instances: usize) -> usize {
     let instances = f64::from(u32::try_from(instances.max(1)).unwrap_or(u32::MAX));
     let share = f64::from(connections_max) * CONNECTIONS_SHARE / instances;
     #[expect(
@@ -376,74 +395,77 @@
     share.max(2)
 }
 
-async fn connect(address: SocketAddr) -> Result<TcpStream, NoConnection> {
+async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting
         .await
-        .map_err(|_| NoConnection::Other(format!("{address} did not answer in time")))?
+        .map_err(|_| ConnectError::Other(format!("{address} did not answer in time")))?
         .map_err(|error| match error.kind() {
-            std::io::ErrorKind::ConnectionRefused => NoConnection::Refused(address),
-            _ => NoConnection::Other(format!("{address}: {error}")),
+            std::io::ErrorKind::ConnectionRefused => ConnectError::Refused(address),
+            _ => ConnectError::Other(format!("{address}: {error}")),
         })?;
-    notice_dead_peers(&stream).map_err(|error| NoConnection::Other(error.to_string()))?;
+    enable_dead_peer_detection(&stream).map_err(|error| ConnectError::Other(error.to_string()))?;
     Ok(stream)
 }
 
-/// Makes a connection fail soon when its peer is gone without a word.
-pub(crate) fn notice_dead_peers(stream: &TcpStream) -> std::io::Result<()> {
+/// Enables TCP keepalive and a user timeout, so that a connection fails soon after its peer
+/// disappears without closing it.
+pub(crate) fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 impl Connection {
-    /// The other connections at rest, where this one rested, too.
-    pub(crate) fn rested_with(&self) -> Option<RestedWith> {
-        self.reused.then(|| RestedWith {
-            service: self.count.service.clone(),
-            pools: self.count.pools.clone(),
+    /// Returns the idle connections of the same service if this connection was reused.
+    pub(crate) fn service_idle_connections(&self) -> Option<ServiceIdleConnections> {
+        self.reused.then(|| ServiceIdleConnections {
+            service: self.open_guard.service.clone(),
+            pools: self.open_guard.pools.clone(),
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         mut self,
         request: Request<Bytes>,
         permit: Permit,
-    ) -> Result<Answer, SendFailure> {
+    ) -> Result<EndpointResponse, SendError> {
         if let Err(error) = self.sender.ready().await {
-            return Err(SendFailure::Unsent(error.to_string()));
+            return Err(SendError::Unsent(error.to_string()));
         }
-        let words = self.count.pools.words.clone();
-        let sent_at = self.count.pools.clock.now();
-        // Here all requests to endpoints pass: the limit that one names counts them all, whatever they ask for.
-        if !words.permits.lets_pass(&self.count.endpoint, permit) {
-            return Err(SendFailure::NoPermit);
+        let signals = self.open_guard.pools.signals.clone();
+        let sent_at = self.open_guard.pools.clock.now();
+        // All requests to endpoints pass here, so the rate limit of an endpoint counts each of
+        // them, whatever its kind.
+        if !signals.permits.lets_pass(&self.open_guard.endpoint, permit) {
+            return Err(SendError::NoPermit);
         }
-        let sent = self.sender.try_send_request(request.map(Full::new)).await;
-        let response = sent.map_err(|mut error| {
+        let result = self.sender.try_send_request(request.map(Full::new)).await;
+        let response = result.map_err(|mut error| {
             let unsent = error.take_message().is_some();
-            let why = error.into_error().to_string();
+            let reason = error.into_error().to_string();
             if unsent {
-                SendFailure::Unsent(why)
+                SendError::Unsent(reason)
             } else {
                 if self.reused {
-                    let count = &self.count;
-                    count.pools.distrust_rest(&count.service);
+                    let open_guard = &self.open_guard;
+                    open_guard.pools.restrict_reuse(&open_guard.service);
                 }
-                SendFailure::MayHaveRun(why)
+                SendError::MayHaveRun(reason)
             }
         })?;
         let (parts, body) = response.into_parts();
         let head = engine::decode_answer(&parts);
-        // Here all answers of endpoints pass: what one says of itself counts whatever was asked. Read by each caller of `send` apart, it was lost.
-        words.take(&self.count.endpoint, &head, sent_at);
-        Ok(Answer {
+        // All responses of endpoints pass here, so their endpoint signals are recorded whatever was
+        // requested. If each caller of `send` read them, signals would be lost.
+        signals.take(&self.open_guard.endpoint, &head, sent_at);
+        Ok(EndpointResponse {
             head,
             parts,
             body,
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{names, unknown};
-use crate::gateway::call::{AnswerHead, SendHead};
+use crate::gateway::message_heads::{EndpointRequestHead, ResponseHead};
 use crate::kernel::endpoint_word::EndpointWord;
 use crate::kernel::limit::LimitWord;
 
@@ -72,7 +72,11 @@
 ///
 /// # Errors
 /// The caller's request cannot be sent on as it is.
-pub fn forward(parts: &Parts, body: Bytes, send: &SendHead<'_>) -> http::Result<Request<Bytes>> {
+pub fn forward(
+    parts: &Parts,
+    body: Bytes,
+    send: &EndpointRequestHead<'_>,
+) -> http::Result<Request<Bytes>> {
     let mut headers = parts.headers.clone();
     strip_connection_headers(&mut headers);
     for name in &names::SET_BY_US {
@@ -112,13 +116,13 @@
 
 /// Reads the head of an endpoint's answer.
 #[must_use]
-pub fn decode_answer(parts: &response::Parts) -> AnswerHead {
+pub fn decode_answer(parts: &response::Parts) -> ResponseHead {
     let headers = &parts.headers;
     unknown::note_headers("endpoint's header", headers, &OF_ANSWERS);
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
     let not_run = headers.contains_key(names::NOT_RUN) || misdirected;
-    AnswerHead {
+    ResponseHead {
         status: parts.status.as_u16(),
         request_id: text(&names::REQUEST_ID).map(str::to_owned),
         sealed: headers.contains_key(names::SEAL),
@@ -126,8 +130,8 @@
         misdirected,
         encoded: headers.contains_key(CONTENT_ENCODING),
         closes: connection_closes(headers),
-        kept_for: kept_for(headers),
-        word: decode_word(parts.status, headers),
+        idle_timeout: kept_for(headers),
+        signals: decode_word(parts.status, headers),
     }
 }
 
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -11,7 +11,7 @@
 
 use super::names;
 use crate::error::{Error, ErrorKind, Result};
-use crate::gateway::call::{CallHead, PromptPart, TokenDemand};
+use crate::gateway::message_heads::{CallHead, PromptSegment, TokenDemand};
 
 /// Headers that would mean two things if they came twice.
 const SINGULAR: [HeaderName; 8] = [
@@ -90,17 +90,18 @@
     Some(TokenDemand {
         model: text(headers, &names::MODEL).unwrap_or_default().to_owned(),
         prompt_tokens: prompt.trim().parse().ok()?,
-        made_max_tokens: made_max.trim().parse().ok()?,
-        made_hint_tokens: text(headers, &names::LENGTH_HINT).and_then(|hint| hint.parse().ok()),
-        parts: prompt_parts(headers),
+        generated_max_tokens: made_max.trim().parse().ok()?,
+        generated_hint_tokens: text(headers, &names::LENGTH_HINT)
+            .and_then(|hint| hint.parse().ok()),
+        segments: prompt_parts(headers),
     })
 }
 
-fn prompt_parts(headers: &HeaderMap) -> Vec<PromptPart> {
+fn prompt_parts(headers: &HeaderMap) -> Vec<PromptSegment> {
     let parts = text(headers, &names::PROMPT_PARTS).unwrap_or_default();
     let parts = parts.split(',').filter_map(|part| part.split_once(':'));
     let parts = parts.filter_map(|(id, tokens)| {
-        Some(PromptPart {
+        Some(PromptSegment {
             id: u64::from_str_radix(id.trim(), 16).ok()?,
             tokens: tokens.trim().parse().ok()?,
         })
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -180,7 +180,7 @@
         .iter()
         .fold(answer, |answer, (name, value)| answer.header(*name, *value));
     let (parts, ()) = answer.body(()).expect("an answer").into_parts();
-    engine::decode_answer(&parts).word
+    engine::decode_answer(&parts).signals
 }
 
 #[test]
