--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -147,7 +147,7 @@
     pub(crate) connection: Connection,
 }
 
-struct Idle {
+struct PooledConnection {
     connection: Connection,
     since: Duration,
     idle_timeout: Duration,
@@ -155,7 +155,7 @@
 
 #[derive(Default)]
 struct Pool {
-    idle: Vec<Idle>,
+    idle: Vec<PooledConnection>,
     /// Number of open connections, in use and idle.
     open: usize,
 }
@@ -272,7 +272,11 @@
     }
 
     /// Removes an idle connection if the limit is reached, to make room for a new one.
-    fn evict_idle_if_full(&self, endpoint: &EndpointEntry, max_open: usize) -> Option<Idle> {
+    fn evict_idle_if_full(
+        &self,
+        endpoint: &EndpointEntry,
+        max_open: usize,
+    ) -> Option<PooledConnection> {
         let mut pools = self.pools.by_endpoint.lock();
         let pool = pools.get_mut(&endpoint.id)?;
         let is_full = pool.open >= max_open && !pool.idle.is_empty();
@@ -341,7 +345,7 @@
         }
         connection.reused = true;
         let endpoint = connection.open_guard.endpoint.clone();
-        let idle = Idle {
+        let idle = PooledConnection {
             connection,
             since: self.clock.now(),
             idle_timeout,
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,11 +1,16 @@
-//! Requests that end each endpoint which begins to run them. On a site of six instances and twelve engines one such request came again and again, each
-//! time under a new name and at another instance, and ended nine engines in twelve seconds; long generations that happened to run beside it were cut
-//! with it. Whatever counted tries belonged to one try and was forgotten with its end, so that nobody knew at the tenth try what the first three had
-//! shown.
+//! Requests that crash each endpoint which begins to run them.
 //!
-//! What settled it: at each of the nine ends just one generation was cut of which no event had come, 0.18 to 0.27 s after it was placed (`generation
-//! ended` with `outcome` = `broken` and `events` = 0), and none of these was sent to more than one engine: it was not larkwick that repeated it. The line
-//! `endpoint broke off`, which names the content, shows the same content at each end.
+//! Guards against a request that is retried until it has crashed most endpoints. On a site of six
+//! instances and twelve engines, a caller retried one such request, each time under a new id and at
+//! another instance. It crashed nine engines in twelve seconds, and long generations that ran
+//! beside it were cut off. Attempts were counted per request id and forgotten at its end, so no
+//! instance knew at the tenth attempt what the first three had shown.
+//!
+//! How to recognise it in logs: at each of the nine crashes exactly one generation without an event
+//! was cut off, 0.18 to 0.27 s after it was placed (`generation ended` with `outcome` = `broken`
+//! and `events` = 0). None of these was sent to more than one engine, so larkwick itself did not
+//! retry it. The line `endpoint broke off` has the request fingerprint in its field `content`,
+//! which is the same at each crash.
 
 mod support;
 
@@ -17,12 +22,13 @@
 use support::site::{Answered, Instance, RoutedSite, answered, until};
 use support::tool;
 
-/// The body that ends each endpoint.
-const CRASHING: &[u8] = b"a body that no endpoint survives";
-/// Endpoints that may end under one request: three until it is known for what it is, and three more sends.
-const ENDED_MAX: usize = 6;
-/// How often the request comes.
-const TRIES: u32 = 14;
+/// A request body that crashes each endpoint.
+const CRASHING_BODY: &[u8] = b"a body that no endpoint survives";
+/// Maximum endpoints that one request may crash: three until it is a confirmed crash suspect, and
+/// three for sends already under way.
+const CRASHED_MAX: usize = 6;
+/// Number of times that the request is sent.
+const ATTEMPTS: u32 = 14;
 
 struct CrashingSite {
     site: RoutedSite,
@@ -33,7 +39,7 @@
 impl CrashingSite {
     async fn start(apps: usize, engines: usize, instances: usize) -> Self {
         let site = RoutedSite::start(apps).await;
-        site.standin.crash_on(CRASHING);
+        site.standin.crash_on(CRASHING_BODY);
         let mut started = Self {
             site,
             engines: Vec::new(),
@@ -61,10 +67,10 @@
         }
     }
 
-    /// Calls each instance in turn with the request, under a new name each time.
-    async fn call_in_turn(&self, path: &str, tries: u32) -> Vec<(String, Answered)> {
+    /// Sends the request to the instances in turn, under a new id each time.
+    async fn call_in_turn(&self, path: &str, attempts: u32) -> Vec<(String, Answered)> {
         let mut answers = Vec::new();
-        for (number, instance) in (0..tries).zip(self.instances.iter().cycle()) {
+        for (number, instance) in (0..attempts).zip(self.instances.iter().cycle()) {
             let id = format!("try-{number}");
             let answer = call(instance, path, &id).await;
             answers.push((id, answer));
@@ -72,14 +78,15 @@
         answers
     }
 
-    fn ended(&self) -> usize {
+    fn crashed(&self) -> usize {
         self.site.standin.crashed().len()
     }
 }
 
-/// Sends the request; a connection that breaks before an answer counts as one without a status.
+/// Sends the request; a connection that breaks before a response counts as a response without a
+/// status.
 async fn call(instance: &Instance, path: &str, id: &str) -> Answered {
-    let request = instance.request(path, id).body(CRASHING);
+    let request = instance.request(path, id).body(CRASHING_BODY);
     let tokens = [("larkwick-model", "m"), ("larkwick-token-count", "1000,8")];
     let request = tokens.into_iter().fold(request, |request, (name, value)| {
         request.header(name, value)
@@ -94,13 +101,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn generation_ends_each_engine_refused_everywhere_after_three() {
+async fn generation_crashes_each_engine_refused_by_all_instances_after_three() {
     let crashing = CrashingSite::start(0, 12, 3).await;
-    let answers = crashing.call_in_turn("/chat/2", TRIES).await;
-    let ended = crashing.ended();
-    assert!(ended <= ENDED_MAX, "{ended} engines ended in {TRIES} tries");
+    let answers = crashing.call_in_turn("/chat/2", ATTEMPTS).await;
+    let crashed = crashing.crashed();
+    assert!(
+        crashed <= CRASHED_MAX,
+        "{crashed} engines crashed in {ATTEMPTS} tries"
+    );
     assert_refused_is_not_run(&crashing.site, &answers);
-    let last: BTreeSet<u16> = answers[TRIES as usize - 3..]
+    let last: BTreeSet<u16> = answers[ATTEMPTS as usize - 3..]
         .iter()
         .map(|(_, answer)| answer.status)
         .collect();
@@ -108,64 +118,71 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_off_endpoint_ended_line_names_content_and_that_nobody_listens() {
+async fn aborted_request_endpoint_crashed_log_has_fingerprint_and_presence() {
     let crashing = CrashingSite::start(0, 3, 1).await;
     crashing.call_in_turn("/chat/2", 3).await;
     let instance = &crashing.instances[0];
-    until("three lines", async || told(instance).len() == 3).await;
-    let lines = told(instance);
+    until("three lines", async || {
+        aborted_request_fields(instance).len() == 3
+    })
+    .await;
+    let lines = aborted_request_fields(instance);
     let contents: BTreeSet<&str> = lines
         .iter()
         .filter_map(|line| line["content"].as_str())
         .collect();
     assert_eq!(contents.len(), 1, "the same content each time: {lines:?}");
-    let ended = lines.iter().filter(|line| line["presence"] == "Ended");
-    assert_eq!(ended.count(), 3, "{lines:?}");
+    let crashed = lines.iter().filter(|line| line["presence"] == "Ended");
+    assert_eq!(crashed.count(), 3, "{lines:?}");
 }
 
-/// A release that mends the endpoints: one instance tries the request there, and what it finishes all instances send there, and
-/// only there.
+/// After a release that fixes the crash, one instance tries the request on the new software. Once
+/// it completes there, all instances send it there, and only there.
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_request_new_software_tried_there_and_served_again() {
+async fn crashing_request_fixed_software_tried_and_served_again() {
     let crashing = CrashingSite::start(0, 8, 3).await;
-    crashing.call_in_turn("/chat/2", TRIES).await;
-    let ended = crashing.ended();
-    let mended = crashing.site.engine().await;
-    mended.mend();
+    crashing.call_in_turn("/chat/2", ATTEMPTS).await;
+    let crashed = crashing.crashed();
+    let fixed_engine = crashing.site.engine().await;
+    fixed_engine.mend();
     let standin = &crashing.site.standin;
-    standin.list_with(&mended, &json!({"version": "v2"}));
+    standin.list_with(&fixed_engine, &json!({"version": "v2"}));
     for (number, instance) in crashing.instances.iter().enumerate() {
-        let mut tries = 0;
+        let mut attempts = 0;
         until("served again", async || {
-            tries += 1;
-            let id = format!("again-{number}-{tries}");
+            attempts += 1;
+            let id = format!("again-{number}-{attempts}");
             let answer = call(instance, "/chat/2", &id).await;
             answer.status == 200 && answer.whole
         })
         .await;
     }
-    assert_eq!(crashing.ended(), ended, "none of the older software ended");
+    assert_eq!(
+        crashing.crashed(),
+        crashed,
+        "none of the older software crashed"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_request_new_software_not_mended_ends_one_more() {
+async fn crashing_request_unfixed_software_crashes_one_more() {
     let crashing = CrashingSite::start(0, 8, 3).await;
-    crashing.call_in_turn("/chat/2", TRIES).await;
-    let ended = crashing.ended();
+    crashing.call_in_turn("/chat/2", ATTEMPTS).await;
+    let crashed = crashing.crashed();
     for _ in 0..3 {
         let engine = crashing.site.engine().await;
         let standin = &crashing.site.standin;
         standin.list_with(&engine, &json!({"version": "v2"}));
     }
-    crashing.call_in_turn("/chat/2", TRIES).await;
-    let more = crashing.ended() - ended;
-    assert!(more <= 1, "{more} engines of the new software ended");
+    crashing.call_in_turn("/chat/2", ATTEMPTS).await;
+    let more = crashing.crashed() - crashed;
+    assert!(more <= 1, "{more} engines of the new software crashed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn let_go_by_an_operator_sent_again_at_all_instances() {
+async fn suspect_released_by_operator_sent_again_by_all_instances() {
     let crashing = CrashingSite::start(0, 12, 2).await;
-    crashing.call_in_turn("/chat/2", TRIES).await;
+    crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let operator = crashing.instances[0].operator_address();
     let listed = tool(&["suspects", "list", "--operator", &operator, "--json"]);
     let listed: Value = serde_json::from_slice(&listed.stdout).expect("a list");
@@ -176,10 +193,10 @@
     }
     let let_go = tool(&["suspects", "let-go", content, "--operator", &operator]);
     assert!(let_go.status.success(), "{let_go:?}");
-    let mut tries = 0;
+    let mut attempts = 0;
     until("served at the other instance", async || {
-        tries += 1;
-        let answer = call(&crashing.instances[1], "/chat/2", &format!("l{tries}")).await;
+        attempts += 1;
+        let answer = call(&crashing.instances[1], "/chat/2", &format!("l{attempts}")).await;
         answer.status == 200 && answer.whole
     })
     .await;
@@ -188,9 +205,10 @@
     assert!(!not_known.status.success());
 }
 
-/// Equal requests run at every engine and are cut with each that ends; they are served all the same once one of them is seen to run on.
+/// Equal requests run at every engine and are cut off by each crash. They must still be served once
+/// one of them is seen to run on.
 #[tokio::test(flavor = "multi_thread")]
-async fn equal_requests_cut_beside_the_crashing_one_served() {
+async fn equal_requests_cut_off_beside_crashing_one_served() {
     let crashing = CrashingSite::start(0, 12, 3).await;
     let instances = || crashing.instances.iter().cycle();
     let beside: Vec<_> = instances()
@@ -202,12 +220,12 @@
         })
         .collect();
     crashing.call_in_turn("/chat/2", 4).await;
-    assert!(crashing.ended() >= 3);
+    assert!(crashing.crashed() >= 3);
     for (number, instance) in crashing.instances.iter().enumerate() {
-        let mut tries = 0;
+        let mut attempts = 0;
         until("served", async || {
-            tries += 1;
-            let id = format!("equal-{number}-{tries}");
+            attempts += 1;
+            let id = format!("equal-{number}-{attempts}");
             let answer = answered(instance.generation(60, &id)).await;
             answer.status == 200 && answer.whole
         })
@@ -218,14 +236,16 @@
     }
 }
 
-/// An engine that was found to have ended is offered to nobody before the list tells of its end.
+/// An engine that was found to have crashed gets no placements, even before the endpoint list shows
+/// its crash.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_ended_under_a_request_offered_to_no_other() {
+async fn engine_crashed_gets_no_other_placement() {
     let crashing = CrashingSite::start(0, 2, 1).await;
     let instance = &crashing.instances[0];
     crashing.call_in_turn("/chat/2", 1).await;
-    let ended = crashing.site.standin.crashed();
-    // The first one lasts until the engine's last generation is forgotten there: it looks emptiest then.
+    let crashed = crashing.site.standin.crashed();
+    // The first one lasts until the last generation of the engine is forgotten there; from then on
+    // the engine looks the least loaded.
     for (number, events) in [80, 2, 2, 2].into_iter().enumerate() {
         let answer = answered(instance.generation(events, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
@@ -234,19 +254,22 @@
     let placed = lines
         .iter()
         .filter(|line| line["payload"] == "generation placed")
-        .filter(|line| line["kv"]["endpoint"] == ended[0].as_str());
+        .filter(|line| line["kv"]["endpoint"] == crashed[0].as_str());
     assert_eq!(placed.count(), 1, "only the one that ended it");
 }
 
-/// A site that is too large for each instance to tell all others: what one has seen comes to all the same. By hand with more instances, for the time
-/// that it takes: `KNOWN_INSTANCES=100 cargo test --test crashing_requests known_at_all -- --nocapture`.
+/// On a site too large for each instance to notify all others directly, a crash suspect still
+/// becomes known at all instances.
+///
+/// Run by hand with more instances, which takes longer: `KNOWN_INSTANCES=100 cargo test --test
+/// crashing_requests known_at_all -- --nocapture`.
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_content_large_site_known_at_all() {
-    let wanted = std::env::var("KNOWN_INSTANCES");
-    let count = wanted.map_or(16, |count| count.parse().expect("a number"));
+async fn crash_suspect_large_site_known_at_all() {
+    let requested_count = std::env::var("KNOWN_INSTANCES");
+    let count = requested_count.map_or(16, |count| count.parse().expect("a number"));
     let site = RoutedSite::start(0).await;
-    site.standin.crash_on(CRASHING);
-    for _ in 0..ENDED_MAX {
+    site.standin.crash_on(CRASHING_BODY);
+    for _ in 0..CRASHED_MAX {
         site.engine().await;
     }
     let first = site.instance("n0").await;
@@ -262,13 +285,16 @@
         members.as_array().map_or(0, Vec::len) + 1 >= count
     })
     .await;
-    let mut tries = 0;
+    let mut attempts = 0;
     until("refused where it was seen", async || {
-        tries += 1;
-        call(&first, "/chat/2", &format!("t{tries}")).await.status == 503
+        attempts += 1;
+        call(&first, "/chat/2", &format!("t{attempts}"))
+            .await
+            .status
+            == 503
     })
     .await;
-    let begun = std::time::Instant::now();
+    let began_at = std::time::Instant::now();
     for instance in &instances {
         until("known", async || {
             let known = instance.operators("/suspects").await;
@@ -278,27 +304,30 @@
     }
     println!(
         "{count} instances knew {} ms after the first",
-        begun.elapsed().as_millis()
+        began_at.elapsed().as_millis()
     );
-    let ended = site.standin.crashed().len();
-    assert_eq!(ended, 3, "all of them under the first three tries");
+    let crashed = site.standin.crashed().len();
+    assert_eq!(crashed, 3, "all of them under the first three tries");
 }
 
-/// What an instance told of endpoints that broke off.
-fn told(instance: &Instance) -> Vec<Value> {
+/// Returns the log fields of the requests that endpoints aborted.
+fn aborted_request_fields(instance: &Instance) -> Vec<Value> {
     let lines = instance.lines.lock().expect("lines");
-    let told = lines.iter();
-    let told = told.filter(|line| line["payload"] == "endpoint broke off");
-    told.map(|line| line["kv"].clone()).collect()
+    let aborted = lines.iter();
+    let aborted = aborted.filter(|line| line["payload"] == "endpoint broke off");
+    aborted.map(|line| line["kv"].clone()).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_ends_each_endpoint_refused_everywhere_after_three() {
+async fn call_crashes_each_endpoint_refused_by_all_instances_after_three() {
     for path in ["/once/1", "/calls/1"] {
         let crashing = CrashingSite::start(14, 0, 3).await;
-        let answers = crashing.call_in_turn(path, TRIES).await;
-        let ended = crashing.ended();
-        assert!(ended <= ENDED_MAX, "{path}: {ended} endpoints ended");
+        let answers = crashing.call_in_turn(path, ATTEMPTS).await;
+        let crashed = crashing.crashed();
+        assert!(
+            crashed <= CRASHED_MAX,
+            "{path}: {crashed} endpoints crashed"
+        );
         assert_refused_is_not_run(&crashing.site, &answers);
         let (_, last) = answers.last().expect("answers");
         assert_eq!(last.status, 503, "{path}: {last:?}");
@@ -306,16 +335,17 @@
     }
 }
 
-/// Instances keep nothing: what they know of such a request has to outlast the loss of all of them.
+/// Instances have no storage of their own, so crash suspects must survive the loss of all of them
+/// in the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_after_loss_of_all_instances_still_refused() {
     let mut crashing = CrashingSite::start(0, 12, 2).await;
-    crashing.call_in_turn("/chat/2", TRIES / 2).await;
-    // Kept by the store before they are lost.
+    crashing.call_in_turn("/chat/2", ATTEMPTS / 2).await;
+    // Leaves time to write the suspect to the store before the instances are lost.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     crashing.instances.clear();
     crashing.start_instances(2).await;
-    crashing.call_in_turn("/chat/2", TRIES / 2).await;
-    let ended = crashing.ended();
-    assert!(ended <= ENDED_MAX, "{ended} engines ended");
+    crashing.call_in_turn("/chat/2", ATTEMPTS / 2).await;
+    let crashed = crashing.crashed();
+    assert!(crashed <= CRASHED_MAX, "{crashed} engines crashed");
 }
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -1,9 +1,11 @@
-//! Connections that are open go silent for good, without a reset, while new ones work.
+//! Open connections that go silent for good, without a reset, while new connections work.
 //!
-//! Nothing tells that such a connection is dead but the answers that do not come on it, and each one at rest cost a call, one after the other. With
-//! 8 connections at rest the store's client lost its second call, too (`no answer in time`); a call that may be repeated was answered 504, both of
-//! its attempts having gone out on silent connections (`no answer in time; it may have run`); and a generation whose stream went silent was cut at
-//! its deadline of 20 s without an event, though its engine went on with it.
+//! A silent connection shows only in responses that do not arrive, and each idle one cost a call,
+//! one after the other. With 8 idle connections, the second call of the store client was lost as
+//! well (`no answer in time`). A repeatable call was answered with 504, since both of its attempts
+//! were sent on silent connections (`no answer in time; it may have run`). A generation whose
+//! stream went silent was cut off at its deadline of 20 s without an event, although its engine
+//! kept running it.
 
 mod support;
 
@@ -15,16 +17,16 @@
 use support::proxy::{Link, Proxy};
 use support::site::{RoutedSite, answered, event_numbers, until};
 
-/// Connections that are opened together.
-const TOGETHER: usize = 8;
+/// Number of connections that are opened at the same time.
+const CONNECTIONS: usize = 8;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_connections_silent_one_call_lost() {
     let site = RoutedSite::start(0).await;
     let proxy = Proxy::start(site.standin.store_address()).await;
     let store = site_store::connect("keyed_log", proxy.address).expect("a client");
-    let together = (0..TOGETHER).map(|_| store.newest(Subject::Configuration));
-    for read in join_all(together).await {
+    let concurrent = (0..CONNECTIONS).map(|_| store.newest(Subject::Configuration));
+    for read in join_all(concurrent).await {
         read.expect("an answer");
     }
     proxy.silence_open();
@@ -32,32 +34,32 @@
         .newest(Subject::Configuration)
         .await
         .expect_err("no answer on a silent connection");
-    for _ in 0..TOGETHER {
+    for _ in 0..CONNECTIONS {
         let read = store.newest(Subject::Configuration).await;
         read.expect("an answer on a new connection");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_connections_at_rest_silent_one_call_lost() {
+async fn calls_idle_connections_silent_at_most_one_call_lost() {
     let site = RoutedSite::start(0).await;
     let (_one, one) = site.app_behind_proxy().await;
     let (_other, other) = site.app_behind_proxy().await;
     let instance = site.instance("n1").await;
-    let warm = async |round: &str| {
-        let together = (0..2 * TOGETHER).map(|number| {
+    let open_idle_then_silence = async |round: &str| {
+        let concurrent = (0..2 * CONNECTIONS).map(|number| {
             let id = format!("{round}{number}");
             answered(instance.request("/once/1", &id))
         });
-        for answer in join_all(together).await {
+        for answer in join_all(concurrent).await {
             assert_eq!(answer.status, 200);
         }
-        // Connections rest a moment before they are used again.
+        // Connections are reused only after a short idle time.
         tokio::time::sleep(Duration::from_millis(100)).await;
         one.silence_open();
         other.silence_open();
     };
-    warm("a").await;
+    open_idle_then_silence("a").await;
     for number in 0..10 {
         let answer = instance.call("/calls/1", &format!("r{number}")).await;
         assert_eq!(
@@ -65,7 +67,7 @@
             "a call that may be repeated: {answer:?}"
         );
     }
-    warm("b").await;
+    open_idle_then_silence("b").await;
     let mut statuses = Vec::new();
     for number in 0..10 {
         let id = format!("o{number}");
@@ -77,15 +79,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn generation_connections_silent_each_event_once() {
-    /// Four seconds: the engine is still at it when it is asked.
+async fn generation_connections_silent_each_event_delivered_once() {
+    /// Takes four seconds: the engine still runs the generation when it is asked about it.
     const EVENTS: u32 = 160;
-    /// A tenth of a second: the engine is done with it when it is asked.
+    /// Takes a tenth of a second: the engine has completed the generation when it is asked about
+    /// it.
     const FEW_EVENTS: u32 = 4;
     let site = RoutedSite::start(0).await;
     let (engine, proxy) = site.engine_behind_proxy().await;
     let instance = site.instance("n1").await;
-    let whole = |answer: &support::site::Answered| {
+    let is_complete = |answer: &support::site::Answered| {
         let expected: Vec<u32> = (1..=EVENTS).collect();
         answer.whole && event_numbers(&answer.body) == expected
     };
@@ -95,15 +98,15 @@
         instance.state().await["endpoints"][&other.id].is_object()
     })
     .await;
-    // In use: the stream goes silent while the engine goes on with it.
+    // In use: the stream goes silent while the engine keeps generating.
     let running = tokio::spawn(answered(instance.generation(EVENTS, "used")));
     until("running", async || engine.running() == 1).await;
     proxy.silence_open();
     other.set_fault(ServerFault::None);
     let answer = running.await.expect("answered");
-    assert!(whole(&answer), "{answer:?}");
-    assert_eq!(site.standin.runs_of("used").len(), 1, "not run anew");
-    // In use, before the first event came.
+    assert!(is_complete(&answer), "{answer:?}");
+    assert_eq!(site.standin.runs_of("used").len(), 1, "not restarted");
+    // In use, before the first event arrives.
     proxy.set(Link::OneWay);
     other.set_fault(ServerFault::Refuses);
     let begun = tokio::spawn(answered(instance.generation(EVENTS, "begun")));
@@ -112,9 +115,10 @@
     proxy.set(Link::Sound);
     other.set_fault(ServerFault::None);
     let answer = begun.await.expect("answered");
-    assert!(whole(&answer), "{answer:?}");
-    assert_eq!(site.standin.runs_of("begun").len(), 1, "not run anew");
-    // In use, and over before anybody can ask: the caller hears so, and not at its deadline.
+    assert!(is_complete(&answer), "{answer:?}");
+    assert_eq!(site.standin.runs_of("begun").len(), 1, "not restarted");
+    // In use, and complete before the engine can be asked: the caller gets an error at once rather
+    // than at its deadline.
     proxy.set(Link::OneWay);
     other.set_fault(ServerFault::Refuses);
     let short = tokio::spawn(answered(instance.generation(FEW_EVENTS, "short")));
@@ -123,21 +127,21 @@
     proxy.set(Link::Sound);
     let short = short.await.expect("answered");
     assert_eq!(short.status, 502, "{short:?}");
-    let unheard = |line: &serde_json::Value| {
+    let lacks_end = |line: &serde_json::Value| {
         let why = line["kv"]["why"].as_str().unwrap_or_default();
         line["kv"]["request_id"] == "short" && why.contains("its end did not come")
     };
     until("the reason", async || {
         let lines = instance.lines.lock().expect("lines");
-        lines.iter().any(unheard)
+        lines.iter().any(lacks_end)
     })
     .await;
     other.set_fault(ServerFault::None);
-    // At rest: what is opened before is not used again.
+    // Idle: connections opened earlier are not reused.
     proxy.silence_open();
-    let together =
+    let concurrent =
         (0..4).map(|number| answered(instance.generation(EVENTS, &format!("g{number}"))));
-    for answer in join_all(together).await {
-        assert!(whole(&answer), "{answer:?}");
+    for answer in join_all(concurrent).await {
+        assert!(is_complete(&answer), "{answer:?}");
     }
 }
--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -1,4 +1,5 @@
-//! Calls through real processes to a stand-in site: routes, keys, retries, and what must never run twice.
+//! Calls through real processes to a stand-in site: routes, API keys, retries, and requests that
+//! must not run twice.
 
 mod support;
 
@@ -13,10 +14,11 @@
 use support::site::{Instance, PATIENCE, RoutedSite, answered, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A call was given up after a few milliseconds, since quick answers had been learnt, and answered with a time-out although nobody else was there to ask:
-/// its only endpoint took longer once, on a busy machine.
+/// Guards against a premature timeout. Fast responses shortened the learned timeout to a few
+/// milliseconds, and a call whose only endpoint was slow once, on a busy machine, was answered with
+/// a timeout although no other endpoint could be tried.
 #[tokio::test(flavor = "multi_thread")]
-async fn call_answered_late_nobody_else_to_ask_waited_for() {
+async fn call_slow_response_no_other_endpoint_waits_until_deadline() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     for number in 0..60 {
@@ -51,7 +53,7 @@
 async fn call_forged_system_headers_dropped() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
-    let forged = [
+    let forged_headers = [
         "larkwick-tenant",
         "hold",
         "kv-from",
@@ -60,26 +62,26 @@
         "priority",
     ];
     let mut request = instance.request("/calls/1", "f1");
-    for name in forged {
+    for name in forged_headers {
         request = request.header(name, "10.0.0.1:1/forged");
     }
     assert_eq!(answered(request).await.status, 200);
     let head = site.apps[0].head_of("f1").expect("its head");
     assert_eq!(head["larkwick-tenant"], "account-1");
-    for name in &forged[1..] {
+    for name in &forged_headers[1..] {
         assert!(!head.contains_key(*name), "{name}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_bad_input_clear_answer_and_nothing_forwarded() {
+async fn call_invalid_request_rejected_and_not_forwarded() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     assert_eq!(instance.call("/nowhere/1", "b1").await.status, 404);
     let wrong_key = instance
         .request("/calls/1", "b2")
         .header("api-key", "other");
-    // Two keys are as good as none.
+    // Two keys in one request are as invalid as none.
     assert_eq!(answered(wrong_key).await.status, 400);
     let url = format!("http://{}/calls/1", instance.caller_address());
     let no_key = reqwest::Client::new()
@@ -92,9 +94,10 @@
     }
 }
 
-/// hyper reads the chunks and drops the length; another reader of the same bytes would take the second request for a body.
+/// Guards against request smuggling. hyper reads the chunks and ignores the content length; another
+/// reader of the same bytes would take the second request for a body.
 #[tokio::test(flavor = "multi_thread")]
-async fn call_length_and_chunks_nothing_after_it_runs() {
+async fn call_content_length_and_chunked_smuggled_request_not_run() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     let mut stream = tokio::net::TcpStream::connect(instance.caller_address())
@@ -117,21 +120,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_once_answer_lost_runs_once_and_says_so() {
+async fn call_once_response_lost_runs_once_and_reports_loss() {
     let site = RoutedSite::start(2).await;
     for app in &site.apps {
         app.set_fault(ServerFault::RunsAndCloses);
     }
     let instance = site.instance("n1").await;
     let answer = instance.call("/once/1", "o1").await;
-    // Neither 429 nor 503: those promise that it did not run.
+    // Must be neither 429 nor 503: those promise that the request did not run.
     assert_eq!(answer.status, 502);
     assert_eq!(site.standin.runs_of("o1").len(), 1);
 }
 
-/// Servers forget connections at rest without a word: one call is lost by it, and is said to be; those after it take new connections.
+/// Servers drop idle connections without closing them. At most one call is lost, and reported as
+/// such; later calls use new connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn call_once_connections_forgotten_one_call_lost_at_most() {
+async fn call_once_idle_connections_dropped_at_most_one_call_lost() {
     let site = RoutedSite::start(0).await;
     let (_app, proxy) = site.app_behind_proxy().await;
     proxy.set(Link::Forgets(Duration::from_millis(250)));
@@ -169,7 +173,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_once_refused_everywhere_told_when_to_come_back() {
+async fn call_once_refused_by_all_servers_returns_retry_after() {
     let site = RoutedSite::start(1).await;
     site.apps[0].set_fault(ServerFault::Refuses);
     let instance = site.instance("n1").await;
@@ -204,7 +208,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_crossed_answer_goes_to_nobody() {
+async fn call_mismatched_response_not_forwarded() {
     let site = RoutedSite::start(1).await;
     site.apps[0].set_fault(ServerFault::Crosses);
     let instance = site.instance("n1").await;
@@ -232,7 +236,7 @@
         instance.call("/calls/1", "k2").await.status == 401
     })
     .await;
-    // An older version that comes late changes nothing.
+    // A late publication of an older version has no effect.
     site.standin.publish(4, &[KEY]);
     site.standin.publish(6, &["key-3"]);
     until("version 6", async || {
@@ -243,7 +247,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn config_history_forgotten_newest_is_read() {
+async fn config_history_compacted_newest_version_read() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     for version in 3..8 {
@@ -257,12 +261,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn config_unreadable_record_keeps_the_one_in_force() {
+async fn config_unreadable_record_keeps_current_version() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     site.standin
         .publish_value(&serde_json::json!({"version": "no"}));
-    until("told", async || {
+    until("logged", async || {
         instance.has_line("record not read; what was known stays")
     })
     .await;
@@ -270,7 +274,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_down_serving_goes_on_and_catches_up() {
+async fn store_down_serving_continues_and_catches_up() {
     for mood in [StoreMood::Busy, StoreMood::Silent] {
         let site = RoutedSite::start(1).await;
         let instance = site.instance("n1").await;
@@ -283,12 +287,12 @@
             instance.state().await["config_version"] == 9
         })
         .await;
-        until("told", async || instance.has_line("store regained")).await;
+        until("logged", async || instance.has_line("store regained")).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_unknown_configuration_answers_not_run() {
+async fn store_down_at_start_call_answered_as_not_run() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::Busy);
     let instance = site.instance_not_ready("n1");
@@ -300,14 +304,15 @@
     instance.until_ready().await;
 }
 
-/// Callers come back once: told half a second, they came back into the same outage and were lost.
+/// Guards against a retry delay that ends during the outage. Callers retry once; with a delay of
+/// half a second they met the same outage and their calls were lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away_at_start_callers_told_to_come_back_after_it() {
+async fn store_down_at_start_callers_get_long_retry_after() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::Busy);
     let instance = site.instance_holding("n1", Duration::from_millis(10));
-    // The first calls may come before the store has failed.
-    until("told", async || {
+    // The first calls may arrive before the store has failed.
+    until("long retry-after", async || {
         let answer = instance.call("/calls/1", "w2").await;
         assert_eq!(answer.status, 503);
         answer.retry_after.is_some_and(|seconds| seconds >= 2.0)
@@ -318,9 +323,10 @@
     assert_eq!(instance.call("/calls/1", "w3").await.status, 200);
 }
 
-/// A caller comes back once only, and soon: refused at once, it was refused twice in the same outage.
+/// Guards against refusing calls at once during a store outage at startup. Callers retry once and
+/// soon, so they were refused twice in the same outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away_at_start_call_held_until_it_returns() {
+async fn store_down_at_start_call_held_until_store_returns() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::Busy);
     let instance = site.instance_holding("n1", PATIENCE);
@@ -332,7 +338,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away_at_start_held_caller_leaves_nothing_runs() {
+async fn store_down_at_start_held_caller_disconnects_call_not_run() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::Busy);
     let instance = site.instance_holding("n1", PATIENCE);
@@ -347,24 +353,24 @@
     assert!(site.standin.runs_of("h3").is_empty());
 }
 
-/// A call that could not be served any more is not held.
+/// A call whose deadline leaves no time to serve it after the hold is not held.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_away_at_start_call_without_time_refused_at_once() {
+async fn store_down_at_start_short_deadline_refused_at_once() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::Busy);
     let instance = site.instance_not_ready("n1");
-    let hasty =
+    let request =
         reqwest::Client::new().post(format!("http://{}/calls/1", instance.caller_address()));
-    let hasty = hasty.header("host", HOST).header("api-key", KEY);
-    let hasty = hasty
+    let request = request.header("host", HOST).header("api-key", KEY);
+    let request = request
         .header("larkwick-request-id", "h2")
         .header("larkwick-deadline-ms", "100");
-    assert_eq!(answered(hasty).await.status, 503);
+    assert_eq!(answered(request).await.status, 503);
     assert_eq!(instance.state().await["calls_held_so_far"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_down_at_start_served_from_the_words_of_a_member() {
+async fn store_down_at_start_configuration_read_from_member() {
     let site = RoutedSite::start(1).await;
     let first = site.instance("n1").await;
     let second = site.instance("n2").await;
@@ -384,7 +390,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_answer_to_own_entry_lost_instance_serves() {
+async fn store_response_to_own_entry_lost_instance_serves() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_mood(StoreMood::LosesAnswers);
     let instance = site.instance("n1").await;
@@ -397,7 +403,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn directory_members_named_and_dead_or_leaving_ones_not() {
+async fn directory_lists_live_members_without_dead_or_draining_ones() {
     let site = RoutedSite::start(1).await;
     let first = site.instance("n1").await;
     let mut second = site.instance("n2").await;
@@ -430,11 +436,11 @@
     let answer = generation.await.expect("answered");
     assert!(answer.whole);
     until("ended", async || instance.ended_well() == Some(true)).await;
-    until("told", async || instance.has_line("instance stopped")).await;
+    until("logged", async || instance.has_line("instance stopped")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_leaving_gets_no_new_work() {
+async fn endpoint_draining_gets_no_new_work() {
     for (number, vanish) in [(0, false), (1, true)] {
         let site = RoutedSite::start(2).await;
         let instance = site.instance("n1").await;
@@ -450,7 +456,7 @@
         })
         .await;
         if !vanish {
-            // What it said is final, whatever the list says later.
+            // Its announcement that it drains is final, whatever the list says later.
             site.standin.list(leaving, "ready");
         }
         for call in 0..20 {
@@ -488,7 +494,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn readers_few_instances_ask_the_store() {
+async fn readers_at_most_two_instances_read_the_store() {
     let site = RoutedSite::start(1).await;
     let mut instances = Vec::new();
     for number in 0..6 {
@@ -518,7 +524,7 @@
     .await;
 }
 
-/// Source through which an instance last read a subject.
+/// Returns the source through which an instance last read a subject.
 fn source_of(instance: &Instance, subject: &str) -> String {
     let lines = instance.lines.lock().expect("lines");
     let mut used = lines
@@ -529,9 +535,10 @@
         .unwrap_or_default()
 }
 
-/// A revoked key was served for seconds when both readers were cut off at once.
+/// Guards against serving a revoked key: it was accepted for seconds when both readers were cut off
+/// at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn readers_frozen_configuration_in_force_at_all_others() {
+async fn readers_suspended_configuration_applied_at_all_others() {
     let site = RoutedSite::start(1).await;
     let mut instances = Vec::new();
     for number in 0..5 {
@@ -567,7 +574,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_gone_before_the_first_event_work_ends() {
+async fn caller_disconnects_before_first_event_work_ends() {
     let site = RoutedSite::start(1).await;
     let engine = site.engine().await;
     engine.set_fault(ServerFault::RunsAndHangs);
@@ -583,9 +590,10 @@
     .await;
 }
 
-/// Calls whose callers left were counted as in flight for ever, so that older endpoints got ever less work.
+/// Guards against a leak in the in-flight counter. Calls whose callers disconnected were counted as
+/// in flight forever, so that older endpoints got less and less work.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_gone_endpoint_counts_no_call_in_flight() {
+async fn caller_disconnects_endpoint_counts_no_call_in_flight() {
     let site = RoutedSite::start(1).await;
     let app = &site.apps[0];
     app.set_fault(ServerFault::RunsAndHangs);
@@ -598,9 +606,9 @@
     until("none in flight", async || in_flight().await == 0).await;
 }
 
-/// The types of the configuration are what members pass to each other.
+/// The configuration survives the encoding in which members pass it to each other.
 #[test]
-fn config_passed_between_members_unchanged() {
+fn config_encoding_between_members_lossless() {
     let text = r#"{"version":3,"routes":[{"name":"r","host":"h","path-prefix":"/p/","kind":"stream","service":"s",
         "timeout-ms":6000,"goal-ms":1500,"max-attempts":1,"gap_aim_ms":180}],"services":[{"name":"s","max-conns":5}]}"#;
     let config =
@@ -610,12 +618,16 @@
     assert_eq!(read, config);
 }
 
-/// Repeats are allowed to all instances together, and each had its part counted once, at its first call: one that had known nobody then took the
-/// whole allowance for itself for good, and the parts of 62 instances added up to 7.6 times the whole after a loss of all (942 repeats in 10 s, 802
-/// allowed). Here the first instance knows nobody yet when it is first called; with the others they made 102 repeats of 84 that are allowed.
+/// Guards against retry budgets whose shares add up to more than the whole budget. Each instance
+/// computed its share only once, at its first call: one that knew no other instance then kept the
+/// whole budget for good. After a loss of all instances, the shares of 62 instances added up to 7.6
+/// times the budget (942 retries in 10 s, 802 allowed).
+///
+/// Here the first instance knows no other when it is first called; together with the others it made
+/// 102 retries when 84 were allowed.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeats_instances_that_join_sum_of_all_kept() {
-    /// Repeats of this many calls empty what an instance alone may take.
+async fn retries_instances_join_total_within_budget() {
+    /// Retries of this many calls exhaust the budget of an instance that is alone.
     const CALLS_OF_FIRST: usize = 60;
     const CALLS_OF_OTHERS: usize = 20;
     let site = RoutedSite::start(2).await;
@@ -650,7 +662,7 @@
         calls += count;
     }
     let arrived = site.standin.arrivals().len() - 1;
-    let repeats = f64::from(u32::try_from(arrived - calls).expect("few"));
+    let retries = f64::from(u32::try_from(arrived - calls).expect("few"));
     let allowed = 0.2 * f64::from(u32::try_from(calls).expect("few")) + 60.0;
-    assert!(repeats <= allowed, "{repeats} of {allowed}");
+    assert!(retries <= allowed, "{retries} of {allowed}");
 }
