--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -18,9 +18,9 @@
         self.words.rests.lock().is_resting(endpoint, self.now())
     }
 
-    /// Returns whether an endpoint that is cooling down may get a request on behalf of generations
-    /// that already run there. The request must be sent at once.
-    pub(crate) fn admits_work_for_running(&self, endpoint: &str) -> bool {
+    /// Admits a request to an endpoint, also during its cooldown, on behalf of generations that
+    /// already run there. Returns whether it may be sent; it must then be sent at once.
+    pub(crate) fn try_admit_exempt(&self, endpoint: &str) -> bool {
         let now = self.now();
         self.words.rests.lock().admits_relief(endpoint, now)
     }
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -13,11 +13,11 @@
 /// Returns a random endpoint that was not tried, drawn by weight; `None` if all were tried, are
 /// cooling down or are rate-limited.
 ///
-/// `initial_pace` is the response-time estimate of a service that has not responded yet.
+/// `initial_response_time` is the response-time estimate of a service that has not responded yet.
 pub(super) fn select_endpoint(
     call: &Call,
     tried: &HashSet<String>,
-    initial_pace: Pace,
+    initial_response_time: Pace,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let now = gateway.now();
@@ -38,7 +38,7 @@
             share.is_none_or(|share| gate.admits(&entry.id, *share, now))
         });
     }
-    let selected = draw_weighted(call, candidates, initial_pace, now)?;
+    let selected = draw_weighted(call, candidates, initial_response_time, now)?;
     if cold.contains_key(&selected.id) {
         gateway.cold_gate.lock().note(&selected.id, now);
     }
@@ -83,12 +83,12 @@
 fn draw_weighted(
     call: &Call,
     candidates: Vec<EndpointEntry>,
-    initial_pace: Pace,
+    initial_response_time: Pace,
     now: Duration,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway.pace(&call.service, initial_pace).late();
+        let late_after = gateway.pace(&call.service, initial_response_time).late();
         let health = gateway.health.lock();
         let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
         candidates.iter().map(weight).collect()
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -17,7 +17,7 @@
 use super::inbound_call::Call;
 use super::message_heads::EndpointRequestHead;
 use super::relay;
-use super::response_body::{ResponseBody, whole};
+use super::response_body::{ResponseBody, full_body};
 use super::runs::{RunCommand, RunHandle};
 use super::started::{Offers, RunGuard, Source, Started, tell_end};
 use super::takeover::{self, Silence};
@@ -56,7 +56,7 @@
         Ok(started) => relay::answer(call, started),
         Err(error) => {
             tell_end(&call, &format!("{:?}", error.kind), &error.message, 0, 0);
-            ingress::refusal(&error).map(whole)
+            ingress::refusal(&error).map(full_body)
         }
     }
 }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -15,7 +15,7 @@
 
 use super::node::{Gateway, Stage};
 use super::request_handler;
-use super::response_body::{ResponseBody, whole};
+use super::response_body::{ResponseBody, full_body};
 use super::upstream::enable_dead_peer_detection;
 use crate::kernel::route::CallLimits;
 use crate::platform::{directory, ingress, names};
@@ -109,7 +109,7 @@
 }
 
 fn status_only(status: StatusCode) -> Response<ResponseBody> {
-    let mut response = Response::new(whole(Bytes::new()));
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
@@ -131,10 +131,10 @@
     }
     let addresses = gateway.caller_addresses(directory::ADDRESSES_MAX);
     if addresses.is_empty() {
-        return ingress::refusal(&gateway.not_ready_error()).map(whole);
+        return ingress::refusal(&gateway.not_ready_error()).map(full_body);
     }
     let valid = gateway.routing.read().directory_valid();
-    let mut response = Response::new(whole(directory::encode(&addresses, valid)));
+    let mut response = Response::new(full_body(directory::encode(&addresses, valid)));
     response.headers_mut().insert(
         http::header::CONTENT_TYPE,
         http::HeaderValue::from_static("application/json"),
--- a/src/gateway/message_heads.rs
+++ b/src/gateway/message_heads.rs
@@ -57,7 +57,7 @@
     pub time_left: Duration,
     /// Name of the client account.
     pub account: Option<&'a str>,
-    /// Priority in the admission queue of an engine; 0 is served first.
+    /// Priority at an engine.
     pub priority: Option<u8>,
     /// KV-cache copy from which a moved generation continues.
     pub continue_from: Option<ContinueFrom<'a>>,
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -114,7 +114,7 @@
     target: &EndpointEntry,
     stop: bool,
 ) -> Result<Copied, String> {
-    if !gateway.admits_work_for_running(&source.id) {
+    if !gateway.try_admit_exempt(&source.id) {
         return Err("the engine rests".to_owned());
     }
     let request = engine::move_request(source.address, &run.demand.run, target.address, stop)
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -18,7 +18,7 @@
 use super::message_heads::EndpointRequestHead;
 use super::node::Gateway;
 use super::permits::Permit;
-use super::response_body::{ResponseBody, whole};
+use super::response_body::{ResponseBody, full_body};
 use super::upstream::{ConnectionReuse, EndpointResponse, SendError, ServiceIdleConnections};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
@@ -102,7 +102,7 @@
             (into_response(answer), format!("answered {status}"))
         }
         Err(error) => {
-            let response = ingress::refusal(&error).map(whole);
+            let response = ingress::refusal(&error).map(full_body);
             (response, format!("{:?}", error.kind))
         }
     };
@@ -124,7 +124,7 @@
 }
 
 fn into_response(answer: BufferedResponse) -> Response<ResponseBody> {
-    let mut response = Response::new(whole(answer.body));
+    let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.parts.status;
     *response.headers_mut() = engine::answer_headers(&answer.parts);
     response
@@ -448,16 +448,16 @@
 /// Returns the timeout of this attempt: the time left until the deadline, or less if another
 /// attempt can follow.
 fn attempt_timeout(call: &Call, attempts: &Attempts) -> Duration {
-    let left = call.time_left();
+    let time_left = call.time_left();
     // Without another endpoint to try, a late response is better than none.
     let can_retry = call.route.kind == CallKind::Repeatable
         && attempts.may_have_run + 1 < call.route.attempts_max
         && endpoint_cooldowns::has_untried_endpoint(call, &attempts.tried);
     if can_retry {
         let pace = call.gateway.pace(&call.service, INITIAL_RESPONSE_TIME);
-        left.min(pace.patience(call.route.goal.saturating_sub(call.age())))
+        time_left.min(pace.patience(call.route.goal.saturating_sub(call.age())))
     } else {
-        left
+        time_left
     }
 }
 
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -14,7 +14,7 @@
 use super::inbound_call::Call;
 use super::message_heads::CallHead;
 use super::node::{Gateway, Stage};
-use super::response_body::{ResponseBody, whole};
+use super::response_body::{ResponseBody, full_body};
 use super::site_store::Subject;
 use super::{generation, held_calls, plain_call};
 use crate::error::{Error, ErrorKind, Result};
@@ -61,7 +61,7 @@
         },
         Err(refused) => {
             log_refusal(&gateway, &refused, arrived);
-            ingress::refusal(&refused.error).map(whole)
+            ingress::refusal(&refused.error).map(full_body)
         }
     };
     let mut response = response;
--- a/src/gateway/response_body.rs
+++ b/src/gateway/response_body.rs
@@ -14,7 +14,7 @@
 pub(crate) struct ResponseAborted(pub(crate) String);
 
 /// Returns a body whose bytes are all available.
-pub(crate) fn whole(body: Bytes) -> ResponseBody {
+pub(crate) fn full_body(body: Bytes) -> ResponseBody {
     Full::new(body)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -140,7 +140,7 @@
     if crash_suspects::current_verdict(call) == Verdict::Refused {
         return Err("endpoints end under it".to_owned());
     }
-    if !call.gateway.admits_work_for_running(&target.id) {
+    if !call.gateway.try_admit_exempt(&target.id) {
         return Err("the engine that has its memory rests".to_owned());
     }
     let permit = if continuation.counted {
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -25,7 +25,7 @@
 /// A request body that crashes each endpoint.
 const CRASHING_BODY: &[u8] = b"a body that no endpoint survives";
 /// Maximum endpoints that one request may crash: three until it is a confirmed crash suspect, and
-/// three for sends already under way.
+/// three more sends.
 const CRASHED_MAX: usize = 6;
 /// Number of times that the request is sent.
 const ATTEMPTS: u32 = 14;
--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -18,7 +18,7 @@
 /// milliseconds, and a call whose only endpoint was slow once, on a busy machine, was answered with
 /// a timeout although no other endpoint could be tried.
 #[tokio::test(flavor = "multi_thread")]
-async fn call_slow_response_no_other_endpoint_waits_until_deadline() {
+async fn call_slow_response_no_other_endpoint_not_timed_out() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     for number in 0..60 {
@@ -623,8 +623,8 @@
 /// whole budget for good. After a loss of all instances, the shares of 62 instances added up to 7.6
 /// times the budget (942 retries in 10 s, 802 allowed).
 ///
-/// Here the first instance knows no other when it is first called; together with the others it made
-/// 102 retries when 84 were allowed.
+/// Here the first instance knows no other when it is first called. With that fault, all instances
+/// together made 102 retries where 84 are allowed.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_instances_join_total_within_budget() {
     /// Retries of this many calls exhaust the budget of an instance that is alone.
