--- a/benches/crashing.rs
+++ b/benches/crashing.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use larkwick::kernel::content::{ContentHead, ContentId, HeadId};
-use larkwick::kernel::engine_ledger::{EngineEntry, EngineLedger, ReportedRun, RunDemand};
+use larkwick::kernel::engine_ledger::{EngineLedger, ListedEngine, ReportedRun, RunDemand};
 use larkwick::kernel::suspects::{BEGINNING, End, Rules, Suspects, Verdict};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -106,7 +106,7 @@
             way,
             random: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
-            ledger: EngineLedger::of_instance("n1"),
+            ledger: EngineLedger::for_instance("n1"),
             suspects: Suspects::by_rules(way.rules),
             engines: BTreeMap::new(),
             runs: HashMap::new(),
@@ -133,7 +133,7 @@
 
     fn list_engines(&mut self) {
         let there = self.engines.iter().filter(|(_, at)| **at <= self.now);
-        let entries = there.map(|(id, _)| EngineEntry {
+        let entries = there.map(|(id, _)| ListedEngine {
             id: id.clone(),
             hall: "h".to_owned(),
             slots: 24,
@@ -353,7 +353,7 @@
             }
         });
         let runs = runs.collect();
-        self.ledger.take_report("n1", runs, self.now);
+        self.ledger.apply_report("n1", runs, self.now);
     }
 }
 
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -19,7 +19,7 @@
 use crate::kernel::clock::millis;
 use crate::kernel::cold::Sender;
 use crate::kernel::engine_ledger::{
-    ColdEngine, EngineEntry, EngineLedger, MoveOrder, MoveResult, ReportedRun, RunDemand,
+    ColdLimit, EngineLedger, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
 };
 use crate::kernel::fleet::{EndpointEntry, Standing};
 use crate::kernel::permits::LimitShare;
@@ -196,7 +196,7 @@
         }
         let limits = permits.limits();
         let all = fleet.all().filter(|(entry, _)| entry.service == service);
-        let entry = |(entry, standing): (&EndpointEntry, Standing)| EngineEntry {
+        let entry = |(entry, standing): (&EndpointEntry, Standing)| ListedEngine {
             id: entry.id.clone(),
             hall: entry.hall.clone(),
             slots: shape.slots,
@@ -206,7 +206,7 @@
             // (+-0.008) on a day on which two halls are emptied, 0.010 (+-0.005) on one with a loss of all, four paired seeds each.
             closed: !fleet.takes_work(&entry.id),
             moves: shape.moves,
-            cold: cold_start.map(|cold_start| ColdEngine {
+            cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
                 share_per_s: cold_start.share(sender),
             }),
@@ -221,7 +221,7 @@
         all.map(entry).collect()
     };
     shard.ledger.set_engines(entries);
-    shard.ledger.settle_permits(gateway.now());
+    shard.ledger.sync_permits(gateway.now());
 }
 
 /// As whom this instance sends to the cold engines of a service. Who is cut off from the owner shares with all others that may be.
@@ -247,14 +247,16 @@
     let shard = gateway.ledgers.shard(service);
     let mut shard = shard.lock();
     for endpoint in &not_taken.refused {
-        shard.ledger.refused(endpoint, now);
+        shard.ledger.record_refusal(endpoint, now);
     }
     for endpoint in &not_taken.dead {
-        shard.ledger.found_dead(endpoint, now);
+        shard.ledger.record_unreachable(endpoint, now);
     }
-    shard.ledger.take_report(entry, runs, now);
-    shard.ledger.rest_for(entry, not_taken.resting.clone());
-    let wanted = !shard.waiters.is_empty() || shard.ledger.has_leaving_runs();
+    shard.ledger.apply_report(entry, runs, now);
+    shard
+        .ledger
+        .set_cooling_down(entry, not_taken.resting.clone());
+    let wanted = !shard.waiters.is_empty() || shard.ledger.has_runs_on_leaving_engines();
     drop(shard);
     if wanted {
         gateway.ledgers.wake();
@@ -295,7 +297,8 @@
         } else {
             Vec::new()
         };
-        let busy = !shard.waiters.is_empty() || (owned && shard.ledger.has_leaving_runs());
+        let busy =
+            !shard.waiters.is_empty() || (owned && shard.ledger.has_runs_on_leaving_engines());
         (orders, busy)
     };
     for order in orders {
@@ -359,7 +362,7 @@
     }
     metrics::counter!("larkwick_moves_total", "result" => format!("{result:?}")).increment(1);
     let shard = gateway.ledgers.shard(&service);
-    shard.lock().ledger.move_ended(&order, result, now);
+    shard.lock().ledger.record_move_result(&order, result, now);
     gateway.ledgers.wake();
 }
 
--- a/src/gateway/ledgers.rs
+++ b/src/gateway/ledgers.rs
@@ -68,7 +68,7 @@
     pub(crate) fn shard(&self, service: &str) -> Arc<Mutex<ServiceShard>> {
         let mut services = self.services.lock();
         let shard = services.entry(service.to_owned()).or_insert_with(|| {
-            let ledger = EngineLedger::of_instance(&self.own_name);
+            let ledger = EngineLedger::for_instance(&self.own_name);
             Arc::new(Mutex::new(ServiceShard {
                 ledger,
                 ..ServiceShard::default()
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -287,7 +287,10 @@
         };
         if self.has_engines(service) {
             let ledgers = self.ledgers.shard(service);
-            return ledgers.lock().ledger.permit(endpoint, asker, limit, now);
+            return ledgers
+                .lock()
+                .ledger
+                .request_permit(endpoint, asker, limit, now);
         }
         desk.given.lock().ask(endpoint, asker, limit, now)
     }
--- a/src/kernel/engine_ledger.rs
+++ b/src/kernel/engine_ledger.rs
@@ -1,8 +1,10 @@
-//! What the owner of a service's engines knows: which generations run where, and what memory they will need.
+//! Ledger kept by the owner of a service's engines: which generations run on which engine, and how
+//! much memory they are predicted to need.
 //!
-//! Entries tell the owner all their generations a few times a second, so that a new owner knows everything after one round. What an engine
-//! holds is kept with the engine and counted anew when one of its generations changes: with 1,500 generations, counting all of them for each
-//! place and each look took the owner a quarter of a core.
+//! Entry instances report all their generations several times a second, so a new owner has the
+//! complete state after one round of reports. Memory usage is cached per engine and recomputed when
+//! one of its generations changes: with 1,500 generations, recomputing it for every placement and
+//! every query took the owner a quarter of a core.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -14,155 +16,167 @@
 use super::permits::{Answer, LimitShare, Permits};
 
 pub use super::engine_run::{
-    ColdEngine, EngineEntry, MoveOrder, MoveResult, ReportedRun, RunDemand,
+    ColdLimit, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
 };
 
-/// Share of an engine's memory that new generations may fill, with what is made within the horizon. Where engines hold half a dozen, the last tenth
-/// kept free is most of a place: filled to 0.97 in place of 0.90, with 1.2 s counted ahead in place of 2.5, days on which a sixth of 60 engines is
-/// missing are worth 0.015 more (+-0.006, seven paired runs), and on smaller engines' load as replayed in the tests 1,078 of 1,080 long
-/// generations get a place in time in place of 1,018.
+/// Share of an engine's memory that new generations may fill, including the tokens generated within
+/// the prediction horizon. On engines that hold about six generations, reserving a tenth of the
+/// memory costs most of one placement. Compared with a limit of 0.90 and a horizon of 2.5 s, a
+/// limit of 0.97 and a horizon of 1.2 s score 0.015 more (+-0.006, seven paired runs) on days on
+/// which a sixth of 60 engines is missing. With the load on smaller engines that the tests replay,
+/// 1,078 of 1,080 long generations are placed in time instead of 1,018.
 const NEW_RUN_FILL_MAX: f64 = 0.97;
-/// Share that a moved generation may fill, and one that ends within the horizon: it gives its room back before it can be in the way. With 0.07 more than
-/// new ones may fill, the latter was worth 0.029 (+-0.008) on a day of bursts, six paired seeds; with 1.06 in place of 1.0 they gain nothing more
-/// (-0.006 +-0.005, seven paired runs).
+/// Share of an engine's memory that may be filled by a moved generation, or by one that is expected
+/// to end within the prediction horizon and so frees its memory before others need it. Allowing the
+/// latter 0.07 more than other new generations scored 0.029 more (+-0.008) on a day with bursts
+/// (six paired seeds). A limit of 1.06 instead of 1.0 brings no further gain (-0.006 +-0.005, seven
+/// paired runs).
 pub(super) const MOVED_RUN_FILL_MAX: f64 = 1.0;
 /// A grant that no report has confirmed is dropped after this time.
-const GRANT_KEPT: Duration = Duration::from_millis(1_500);
-/// An entry that has not reported for this long is gone, and with it its connections.
-const ENTRY_KEPT: Duration = Duration::from_millis(2_500);
-/// Prompt tokens that wait to be read on an engine count this much of its memory again when engines are compared, so that new
-/// generations spread.
-const UNREAD_WEIGHT: f64 = 1.5;
-/// A generation whose move failed is tried again after this time.
-pub(super) const MOVE_PAUSE: Duration = Duration::from_millis(120);
-/// An engine that refused a generation takes no new ones for this time.
-const REFUSED_PAUSE: Duration = Duration::from_millis(400);
-/// An engine at whose address nobody listens takes none for this time; the list tells of its end or of its return.
-const DEAD_PAUSE: Duration = Duration::from_secs(4);
-/// Engines that differ by less than this in fill are alike; less than a token. Instances that place alone know only their own generations:
-/// without an order of its own among engines that look empty, each of a hundred would begin with the same one.
-const TIE_SPREAD: f64 = 1e-5;
-
-/// The place of an engine among those that are alike, as one instance sees it.
-fn tie(own_name: &str, engine: &str) -> f64 {
-    rendezvous_share(own_name, engine) * TIE_SPREAD
+const UNCONFIRMED_GRANT_TTL: Duration = Duration::from_millis(1_500);
+/// An entry instance that has not reported for this long is considered gone, along with its
+/// connections.
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Weight of an engine's unread prompt tokens, as a share of its memory, when engines are compared.
+/// It spreads new generations over the engines.
+const UNREAD_PROMPT_WEIGHT: f64 = 1.5;
+/// A failed move is retried after this delay.
+pub(super) const MOVE_RETRY_DELAY: Duration = Duration::from_millis(120);
+/// An engine that refused a generation gets no new ones for this time.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(400);
+/// An engine whose address refuses connections gets no new generations for this time. The endpoint
+/// list reports whether it ended or came back.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(4);
+/// Upper bound of the tie-breaker that is added to an engine's fill; less than a token. Instances
+/// that place on their own know only their own generations: without a different order for each
+/// instance among engines that look empty, a hundred of them would all start with the same engine.
+const TIE_BREAKER_MAX: f64 = 1e-5;
+
+/// Returns this instance's tie-breaker for an engine, used among equally filled engines.
+fn tie_breaker(own_name: &str, engine: &str) -> f64 {
+    rendezvous_share(own_name, engine) * TIE_BREAKER_MAX
 }
 
-/// A generation as the ledger has it.
+/// A generation as recorded in the ledger.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Run {
     pub(super) reported: ReportedRun,
-    /// The instance that serves it.
+    /// Instance that serves it.
     pub(super) entry: String,
-    /// When it was granted or last reported.
-    at: Duration,
+    /// Time of the grant or of the last report.
+    #[serde(rename = "at")]
+    updated_at: Duration,
     /// Whether a report has confirmed it.
     pub(super) confirmed: bool,
-    /// Where it is being moved.
+    /// Target engine of the move in progress.
     pub(super) moving_to: Option<String>,
     /// No further move before this time.
     pub(super) next_move_at: Duration,
 }
 
-/// An engine, and what is on it.
+/// An engine and the generations on it.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
-    /// As the list has it; nothing where it is listed no more and generations are still said to run there.
-    pub(super) entry: Option<EngineEntry>,
+    /// The engine as listed; `None` if it is no longer listed but generations are still reported to
+    /// run on it.
+    pub(super) listed: Option<ListedEngine>,
     refused_until: Duration,
-    /// Added to its fill when engines are compared; never above [`TIE_SPREAD`].
-    tie: f64,
+    /// Added to its fill when engines are compared; at most [`TIE_BREAKER_MAX`].
+    tie_breaker: f64,
     /// Generations that run on it.
     pub(super) runs: BTreeSet<String>,
     /// Generations that are being moved to it.
     pub(super) incoming: BTreeSet<String>,
-    /// What `runs` and `incoming` hold together.
-    pub(super) held: Held,
+    /// Usage by `runs` and `incoming` together.
+    pub(super) usage: EngineUsage,
 }
 
-/// What is held on an engine.
+/// Memory and slots used on an engine.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub(super) struct Held {
-    /// Tokens, with what will be made within the horizon.
+pub(super) struct EngineUsage {
+    /// Tokens, including those predicted to be generated within the horizon.
     pub(super) tokens: f64,
-    /// Prompt tokens not read yet.
+    /// Prompt tokens that have not been prefilled yet.
     unread_tokens: f64,
-    /// Generations and copies.
+    /// Generations, including incoming ones.
     pub(super) places: u32,
 }
 
 /// An instance that reports generations.
 #[derive(Debug, Default)]
-struct Entry {
-    /// When it last reported; nothing where it was only granted places so far.
+struct EntryInstance {
+    /// Time of its last report; `None` if it has only been granted placements so far.
     reported_at: Option<Duration>,
     /// Its generations.
     runs: BTreeSet<String>,
-    /// Engines that asked it for rest, as it reported last: nothing is moved there for it.
-    resting: BTreeSet<String>,
+    /// Engines in cooldown for this instance according to its last report. None of its generations
+    /// is moved to them.
+    cooling_down: BTreeSet<String>,
 }
 
-/// The engines of one service.
+/// Ledger of one service's engines.
 #[derive(Debug, Default)]
 pub struct EngineLedger {
-    /// The instance whose ledger it is.
+    /// Name of the instance that keeps the ledger.
     own_name: String,
     pub(super) engines: BTreeMap<String, Engine>,
-    /// All generations. Each is in the `runs` of its engine and of its entry, and in the `incoming` of the engine that it is moved to.
+    /// All generations. Each is in the `runs` of its engine and of its entry instance, and in the
+    /// `incoming` of the target engine during a move.
     pub(super) runs: HashMap<String, Run>,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, EntryInstance>,
     /// Generations that no report has confirmed.
     unconfirmed: BTreeSet<String>,
     /// Generations that are being moved.
     pub(super) moving: BTreeSet<String>,
-    /// What was sent to cold engines of late.
+    /// Requests recently sent to cold engines.
     pub(super) cold_gate: ColdGate,
-    /// What was sent to engines that name a limit.
+    /// Permits granted for engines that announce a rate limit.
     permits: Permits,
-    /// Engines that asked some entry for rest: all that the entries have in `resting`.
-    asked_for_rest: BTreeSet<String>,
+    /// Engines in cooldown for any entry instance: the union of all `cooling_down` sets.
+    cooling_down_engines: BTreeSet<String>,
 }
 
 impl Engine {
     pub(super) fn is_leaving(&self) -> bool {
-        self.entry.as_ref().is_none_or(|entry| entry.leaving)
+        self.listed.as_ref().is_none_or(|entry| entry.leaving)
     }
 
-    /// Whether it takes new generations, those that move included.
+    /// Returns whether the engine accepts new generations, including moved ones.
     pub(super) fn is_open(&self) -> bool {
-        let entry = self.entry.as_ref();
+        let entry = self.listed.as_ref();
         entry.is_some_and(|entry| !entry.leaving && !entry.closed)
     }
 
-    /// Whether it took what it was offered last, or may be offered something again.
-    pub(super) fn is_sound(&self, now: Duration) -> bool {
+    /// Returns whether the pause after a refusal or a failed connection is over.
+    pub(super) fn is_available(&self, now: Duration) -> bool {
         now >= self.refused_until
     }
 
-    /// Its fill with one more generation, for a comparison with other engines.
-    pub(super) fn compared(&self, fill: f64) -> f64 {
-        fill + self.tie
+    /// Returns the score by which engines are compared: the given fill plus the tie-breaker.
+    pub(super) fn comparison_score(&self, fill: f64) -> f64 {
+        fill + self.tie_breaker
     }
 
     fn is_empty(&self) -> bool {
         self.runs.is_empty() && self.incoming.is_empty()
     }
 
-    /// Share of its memory that is held with one more generation; nothing where it has no place for it below the given share.
-    pub(super) fn fill_with(
+    /// Returns the fill of this engine with one more generation, or `None` if it has no free slot
+    /// or the fill would exceed `fill_max`.
+    pub(super) fn fill_with_run(
         &self,
-        entry: &EngineEntry,
+        entry: &ListedEngine,
         run: &ReportedRun,
         fill_max: f64,
     ) -> Option<f64> {
-        let fill = (self.held.tokens + run.predicted()) / f64::from(entry.memory_tokens);
-        (self.held.places < entry.slots && fill <= fill_max).then_some(fill)
+        let fill = (self.usage.tokens + run.predicted_tokens()) / f64::from(entry.memory_tokens);
+        (self.usage.places < entry.slots && fill <= fill_max).then_some(fill)
     }
 }
 
-impl Held {
+impl EngineUsage {
     fn add(&mut self, run: &ReportedRun, runs_here: bool) {
-        self.tokens += run.predicted();
+        self.tokens += run.predicted_tokens();
         self.places += 1;
         if runs_here && run.made_tokens == 0 {
             self.unread_tokens += f64::from(run.demand.prompt_tokens);
@@ -171,52 +185,52 @@
 }
 
 impl EngineLedger {
-    /// The ledger of an instance.
+    /// Creates the ledger of an instance.
     #[must_use]
-    pub fn of_instance(own_name: &str) -> Self {
+    pub fn for_instance(own_name: &str) -> Self {
         Self {
             own_name: own_name.to_owned(),
             ..Self::default()
         }
     }
 
-    /// Takes the engines as they are listed now.
-    pub fn set_engines(&mut self, entries: Vec<EngineEntry>) {
+    /// Replaces the set of listed engines.
+    pub fn set_engines(&mut self, entries: Vec<ListedEngine>) {
         let mut listed: BTreeSet<String> = BTreeSet::new();
         for entry in entries {
             listed.insert(entry.id.clone());
             let engine = self.engines.entry(entry.id.clone()).or_default();
-            engine.tie = tie(&self.own_name, &entry.id);
-            engine.entry = Some(entry);
+            engine.tie_breaker = tie_breaker(&self.own_name, &entry.id);
+            engine.listed = Some(entry);
         }
         self.engines.retain(|id, engine| {
             if !listed.contains(id) {
-                engine.entry = None;
+                engine.listed = None;
             }
-            engine.entry.is_some() || !engine.is_empty()
+            engine.listed.is_some() || !engine.is_empty()
         });
     }
 
-    /// Whether generations run on an engine that leaves.
+    /// Returns whether any generation runs on an engine that is leaving.
     #[must_use]
-    pub fn has_leaving_runs(&self) -> bool {
+    pub fn has_runs_on_leaving_engines(&self) -> bool {
         let mut engines = self.engines.values();
         engines.any(|engine| engine.is_leaving() && !engine.runs.is_empty())
     }
 
-    /// Counts anew what an engine holds.
-    fn recount(&mut self, id: &str) {
+    /// Recomputes the usage of an engine.
+    fn recompute_usage(&mut self, id: &str) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        let mut held = Held::default();
+        let mut usage = EngineUsage::default();
         for (names, runs_here) in [(&engine.runs, true), (&engine.incoming, false)] {
             for run in names.iter().filter_map(|name| self.runs.get(name)) {
-                held.add(&run.reported, runs_here);
+                usage.add(&run.reported, runs_here);
             }
         }
-        engine.held = held;
-        if engine.entry.is_none() && engine.is_empty() {
+        engine.usage = usage;
+        if engine.listed.is_none() && engine.is_empty() {
             self.engines.remove(id);
         }
     }
@@ -238,9 +252,9 @@
             self.unconfirmed.insert(name.to_owned());
         }
         self.runs.insert(name.to_owned(), run);
-        self.recount(&endpoint);
+        self.recompute_usage(&endpoint);
         if let Some(target) = &target {
-            self.recount(target);
+            self.recompute_usage(target);
         }
     }
 
@@ -258,47 +272,55 @@
             if let Some(engine) = self.engines.get_mut(target) {
                 engine.incoming.remove(name);
             }
-            self.recount(target);
+            self.recompute_usage(target);
         }
-        self.recount(&run.reported.endpoint);
+        self.recompute_usage(&run.reported.endpoint);
         Some(run)
     }
 
-    /// Changes a generation and counts anew what it changes.
-    pub(super) fn change(&mut self, name: &str, change: impl FnOnce(&mut Run)) {
+    /// Updates a generation and recomputes the usage of the engines involved.
+    pub(super) fn update_run(&mut self, name: &str, update_run: impl FnOnce(&mut Run)) {
         if let Some(mut run) = self.remove(name) {
-            change(&mut run);
+            update_run(&mut run);
             self.insert(name, run);
         }
     }
 
-    /// Whether an engine may be sent one more request of an entry now: a cold one falls over well above what it bears, and one in need takes few from
-    /// all instances together.
-    pub(super) fn takes_one_more(&self, engine: &EngineEntry, entry: &str, now: Duration) -> bool {
+    /// Returns whether an entry instance may send one more request to an engine now. A cold engine
+    /// fails well above its sustainable rate, and an engine with a rate limit accepts only few
+    /// requests from all instances together.
+    pub(super) fn can_accept_request(
+        &self,
+        engine: &ListedEngine,
+        entry: &str,
+        now: Duration,
+    ) -> bool {
         let cold = engine.cold.filter(|cold| now < cold.until);
-        let bears =
+        let is_within_cold_limit =
             cold.is_none_or(|cold| self.cold_gate.admits(&engine.id, cold.share_per_s, now));
-        let permitted = engine.limit.is_none_or(|limit| {
+        let has_permit = engine.limit.is_none_or(|limit| {
             let next_at = self.permits.next_at(&engine.id, entry, limit, now);
             next_at <= now
         });
-        bears && permitted
+        is_within_cold_limit && has_permit
     }
 
-    /// Counts a request of an entry that is sent to an engine, as far as it matters; gives whether it was one of those that the engine takes from all.
-    pub(super) fn note_sent(&mut self, engine: &str, entry: &str, now: Duration) -> bool {
+    /// Records a request that is sent to an engine, if the engine is cold or has a rate limit.
+    /// Returns whether it was counted against the engine's rate limit.
+    pub(super) fn record_sent_request(&mut self, engine: &str, entry: &str, now: Duration) -> bool {
         let listed = self.engines.get(engine);
-        let listed = listed.and_then(|engine| engine.entry.as_ref());
+        let listed = listed.and_then(|engine| engine.listed.as_ref());
         let Some(listed) = listed else { return false };
         if listed.cold.is_some_and(|cold| now < cold.until) {
             self.cold_gate.note(engine, now);
         }
         let limit = listed.limit;
-        limit.is_some_and(|limit| self.permit(engine, entry, limit, now) == Answer::Granted)
+        limit.is_some_and(|limit| self.request_permit(engine, entry, limit, now) == Answer::Granted)
     }
 
-    /// Gives an entry a permit for a request to an engine that names a limit, beside the places that are granted.
-    pub fn permit(
+    /// Requests a permit for an entry instance to send a request to a rate-limited engine, outside
+    /// of placements.
+    pub fn request_permit(
         &mut self,
         engine: &str,
         entry: &str,
@@ -308,18 +330,19 @@
         self.permits.ask(engine, entry, limit, now)
     }
 
-    /// Whether places at an engine are counted against a limit that it names.
+    /// Returns whether placements on an engine are counted against a rate limit that it announced.
     #[must_use]
     pub fn is_limited(&self, engine: &str) -> bool {
         let engine = self.engines.get(engine);
-        let entry = engine.and_then(|engine| engine.entry.as_ref());
+        let entry = engine.and_then(|engine| engine.listed.as_ref());
         entry.is_some_and(|entry| entry.limit.is_some())
     }
 
-    /// From now on requests add up for engines that name a limit, and those of engines that name none are forgotten.
-    pub fn settle_permits(&mut self, now: Duration) {
+    /// Starts permit accounting for engines that announce a rate limit, and drops it for all
+    /// others.
+    pub fn sync_permits(&mut self, now: Duration) {
         let engines = self.engines.values();
-        let limited = engines.filter_map(|engine| engine.entry.as_ref());
+        let limited = engines.filter_map(|engine| engine.listed.as_ref());
         let limited = limited.filter(|entry| entry.limit.is_some());
         let limited: BTreeSet<&str> = limited.map(|entry| entry.id.as_str()).collect();
         self.permits.tidy(|engine| limited.contains(engine));
@@ -328,7 +351,7 @@
         }
     }
 
-    /// Finds an engine for a new generation; gives the id of the engine.
+    /// Chooses an engine for a new generation and records the grant. Returns the engine's id.
     pub fn place(
         &mut self,
         demand: &RunDemand,
@@ -347,24 +370,31 @@
             NEW_RUN_FILL_MAX
         };
         let usable = self.engines.iter().filter(|(id, engine)| {
-            engine.is_sound(now) && !excluded.contains(id) && engine.is_open()
+            engine.is_available(now) && !excluded.contains(id) && engine.is_open()
         });
         let fits = usable.filter_map(|(_, engine)| {
-            let listed = engine.entry.as_ref()?;
-            let fill = engine.fill_with(listed, &new, fill_max)?;
-            if !self.takes_one_more(listed, entry, now) {
+            let listed = engine.listed.as_ref()?;
+            let fill = engine.fill_with_run(listed, &new, fill_max)?;
+            if !self.can_accept_request(listed, entry, now) {
                 return None;
             }
-            let unread = engine.held.unread_tokens / f64::from(listed.memory_tokens);
-            let compared = engine.compared(fill) + UNREAD_WEIGHT * unread;
-            // One that turned another entry away will likely turn this one away: it comes last. Of 20 generations a second before twelve engines, of
-            // which four refuse nine in ten, 0 in 100 are lost and not 10.7; of 36 a second at 60 instances 13.5 and not 26.3; where they refuse
-            // three in ten of what all engines can just hold, 3.2 and not 0.7 (simulated, `cargo bench --bench resting`, 40 seeds).
-            Some((self.asked_for_rest.contains(&listed.id), compared, listed))
+            let unread = engine.usage.unread_tokens / f64::from(listed.memory_tokens);
+            let score = engine.comparison_score(fill) + UNREAD_PROMPT_WEIGHT * unread;
+            // An engine in cooldown for another entry instance is likely to refuse this one too, so
+            // it is the last choice. Simulated with `cargo bench --bench resting`, 40 seeds: with
+            // twelve engines of which four refuse nine requests in ten, 0 of 100 generations are
+            // lost instead of 10.7 at 20 generations a second, and 13.5 instead of 26.3 at 36 a
+            // second with 60 instances. Where these engines refuse three in ten and the load is
+            // just what all engines can hold, the rule costs: 3.2 instead of 0.7.
+            Some((
+                self.cooling_down_engines.contains(&listed.id),
+                score,
+                listed,
+            ))
         });
-        let (_, _, chosen) = fits.min_by(|one, other| {
-            let by_rest = one.0.cmp(&other.0);
-            by_rest.then(one.1.total_cmp(&other.1))
+        let (_, _, chosen) = fits.min_by(|left, right| {
+            let by_cooldown = left.0.cmp(&right.0);
+            by_cooldown.then(left.1.total_cmp(&right.1))
         })?;
         let granted = chosen.id.clone();
         let run = Run {
@@ -373,70 +403,74 @@
                 ..new
             },
             entry: entry.to_owned(),
-            at: now,
+            updated_at: now,
             confirmed: false,
             moving_to: None,
             next_move_at: Duration::ZERO,
         };
         self.insert(&demand.run, run);
-        self.note_sent(&granted, entry, now);
+        self.record_sent_request(&granted, entry, now);
         Some(granted)
     }
 
-    /// Takes all generations of an entry, in place of what it reported before.
-    pub fn take_report(&mut self, entry: &str, reported: Vec<ReportedRun>, now: Duration) {
-        let known = self.entries.entry(entry.to_owned()).or_default();
-        known.reported_at = Some(now);
-        let before = known.runs.clone();
+    /// Replaces all generations of an entry instance by those of its new report.
+    pub fn apply_report(&mut self, entry: &str, reported: Vec<ReportedRun>, now: Duration) {
+        let instance = self.entries.entry(entry.to_owned()).or_default();
+        instance.reported_at = Some(now);
+        let before = instance.runs.clone();
         let names: BTreeSet<&str> = reported.iter().map(|run| run.demand.run.as_str()).collect();
         let missing = before.iter().filter(|name| !names.contains(name.as_str()));
-        let ended: Vec<&String> = missing.filter(|name| !self.is_young(name, now)).collect();
+        let ended: Vec<&String> = missing
+            .filter(|name| !self.is_recent_grant(name, now))
+            .collect();
         for name in ended {
             self.remove(name);
         }
         for reported in reported {
-            self.take_reported(entry, reported, now);
+            self.apply_reported_run(entry, reported, now);
         }
     }
 
-    /// Takes the engines that asked an entry for rest, in place of what it reported before.
-    pub fn rest_for(&mut self, entry: &str, resting: BTreeSet<String>) {
+    /// Replaces the set of engines in cooldown that an entry instance reported.
+    pub fn set_cooling_down(&mut self, entry: &str, cooling_down: BTreeSet<String>) {
         if let Some(entry) = self.entries.get_mut(entry)
-            && entry.resting != resting
+            && entry.cooling_down != cooling_down
         {
-            entry.resting = resting;
-            self.count_rests();
+            entry.cooling_down = cooling_down;
+            self.rebuild_cooling_down();
         }
     }
 
-    fn count_rests(&mut self) {
+    fn rebuild_cooling_down(&mut self) {
         let entries = self.entries.values();
-        let resting = entries.flat_map(|entry| entry.resting.iter().cloned());
-        self.asked_for_rest = resting.collect();
+        let cooling_down = entries.flat_map(|entry| entry.cooling_down.iter().cloned());
+        self.cooling_down_engines = cooling_down.collect();
     }
 
-    /// Whether an engine asked an entry for rest.
-    pub(super) fn rests_for(&self, entry: &str, engine: &str) -> bool {
+    /// Returns whether an engine is in cooldown for an entry instance.
+    pub(super) fn is_cooling_down_for(&self, entry: &str, engine: &str) -> bool {
         let entry = self.entries.get(entry);
-        entry.is_some_and(|entry| entry.resting.contains(engine))
+        entry.is_some_and(|entry| entry.cooling_down.contains(engine))
     }
 
-    /// Whether a generation was granted a place so lately that no report need have it yet.
-    fn is_young(&self, name: &str, now: Duration) -> bool {
+    /// Returns whether a generation was granted so recently that reports need not include it yet.
+    fn is_recent_grant(&self, name: &str, now: Duration) -> bool {
         let run = self.runs.get(name);
-        run.is_some_and(|run| !run.confirmed && now.saturating_sub(run.at) < GRANT_KEPT)
+        run.is_some_and(|run| {
+            !run.confirmed && now.saturating_sub(run.updated_at) < UNCONFIRMED_GRANT_TTL
+        })
     }
 
-    fn take_reported(&mut self, entry: &str, reported: ReportedRun, now: Duration) {
+    fn apply_reported_run(&mut self, entry: &str, reported: ReportedRun, now: Duration) {
         let name = reported.demand.run.clone();
         let before = self.runs.get(&name);
-        // While it moves, the report may still name the engine that it leaves.
+        // During a move, the report may still name the source engine.
         let moving_to = before.and_then(|run| run.moving_to.clone());
         let moving_to = moving_to.filter(|target| *target != reported.endpoint);
         let run = Run {
             reported,
             entry: entry.to_owned(),
-            at: now,
+            updated_at: now,
             confirmed: true,
             moving_to,
             next_move_at: before.map_or(Duration::ZERO, |run| run.next_move_at),
@@ -444,78 +478,82 @@
         self.insert(&name, run);
     }
 
-    /// An engine refused a generation.
-    pub fn refused(&mut self, endpoint: &str, now: Duration) {
+    /// Records that an engine refused a generation.
+    pub fn record_refusal(&mut self, endpoint: &str, now: Duration) {
         if let Some(engine) = self.engines.get_mut(endpoint) {
-            engine.refused_until = now + REFUSED_PAUSE;
+            engine.refused_until = now + REFUSED_BACKOFF;
         }
     }
 
-    /// Nobody listens at an engine's address.
-    pub fn found_dead(&mut self, endpoint: &str, now: Duration) {
+    /// Records that an engine's address refuses connections.
+    pub fn record_unreachable(&mut self, endpoint: &str, now: Duration) {
         if let Some(engine) = self.engines.get_mut(endpoint) {
-            engine.refused_until = now + DEAD_PAUSE;
+            engine.refused_until = now + UNREACHABLE_BACKOFF;
         }
     }
 
-    /// A generation that was granted a place will not use it.
+    /// Releases the grant of a generation that will not use it.
     pub fn release(&mut self, run: &str) {
         self.remove(run);
     }
 
-    /// Drops what entries that are silent had reported, and grants that nobody confirmed.
+    /// Drops the generations of entry instances that stopped reporting, and grants that were never
+    /// confirmed.
     pub fn expire(&mut self, now: Duration) {
         let old_grants = self.unconfirmed.iter();
         let old_grants: Vec<String> = old_grants
-            .filter(|name| !self.is_young(name, now))
+            .filter(|name| !self.is_recent_grant(name, now))
             .cloned()
             .collect();
-        let mut silent: Vec<String> = Vec::new();
+        let mut stale: Vec<String> = Vec::new();
         for entry in self.entries.values() {
             let at = entry.reported_at;
-            if at.is_none_or(|at| now.saturating_sub(at) >= ENTRY_KEPT) {
+            if at.is_none_or(|at| now.saturating_sub(at) >= ENTRY_TIMEOUT) {
                 let runs = entry.runs.iter();
-                silent.extend(runs.filter(|name| !self.is_young(name, now)).cloned());
+                stale.extend(
+                    runs.filter(|name| !self.is_recent_grant(name, now))
+                        .cloned(),
+                );
             }
         }
-        for name in old_grants.iter().chain(&silent) {
+        for name in old_grants.iter().chain(&stale) {
             self.remove(name);
         }
         self.cold_gate.tidy(now);
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
             let at = entry.reported_at;
-            let is_heard = at.is_some_and(|at| now.saturating_sub(at) < ENTRY_KEPT);
-            is_heard || !entry.runs.is_empty()
+            let is_reporting = at.is_some_and(|at| now.saturating_sub(at) < ENTRY_TIMEOUT);
+            is_reporting || !entry.runs.is_empty()
         });
-        if self.entries.len() < before && !self.asked_for_rest.is_empty() {
-            self.count_rests();
+        if self.entries.len() < before && !self.cooling_down_engines.is_empty() {
+            self.rebuild_cooling_down();
         }
     }
 
-    /// Takes the end of a move.
-    pub fn move_ended(&mut self, order: &MoveOrder, result: MoveResult, now: Duration) {
+    /// Records the result of a move.
+    pub fn record_move_result(&mut self, order: &MoveOrder, result: MoveResult, now: Duration) {
         if result == MoveResult::RunGone {
             self.remove(&order.run);
             return;
         }
-        self.change(&order.run, |run| {
+        self.update_run(&order.run, |run| {
             if result == MoveResult::Copied {
                 run.reported.endpoint.clone_from(&order.target);
             }
             run.moving_to = None;
-            run.next_move_at = now + MOVE_PAUSE;
+            run.next_move_at = now + MOVE_RETRY_DELAY;
         });
     }
 
-    /// Counts for the dump: generations and share of memory predicted to be used, by engine.
+    /// Returns a summary of each listed engine for the debug dump.
     #[must_use]
     pub fn summary(&self) -> BTreeMap<String, EngineSummary> {
         let engines = self.engines.iter().filter_map(|(id, engine)| {
-            let entry = engine.entry.as_ref()?;
+            let entry = engine.listed.as_ref()?;
             let summary = EngineSummary {
-                places: engine.held.places,
-                predicted_tokens: engine.held.tokens,
+                places: engine.usage.places,
+                predicted_tokens: engine.usage.tokens,
                 memory_tokens: entry.memory_tokens,
                 leaving: entry.leaving,
                 closed: entry.closed,
@@ -525,7 +563,7 @@
         engines.collect()
     }
 
-    /// Engines that run generations.
+    /// Returns the engines that run generations.
     #[must_use]
     pub fn running_engines(&self) -> BTreeSet<String> {
         let engines = self.engines.iter();
@@ -533,24 +571,24 @@
         running.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Generations known.
+    /// Returns the number of known generations.
     #[must_use]
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 }
 
-/// An engine in the dump.
+/// An engine in the debug dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineSummary {
-    /// Generations and copies on it.
+    /// Generations on it, including incoming ones.
     pub places: u32,
-    /// Memory within the horizon.
+    /// Memory predicted to be used within the horizon.
     pub predicted_tokens: f64,
-    /// Memory in all.
+    /// Total memory.
     pub memory_tokens: u32,
-    /// Whether what runs on it has to go.
+    /// Whether its generations have to be moved off.
     pub leaving: bool,
-    /// Whether it takes no new generations, though what runs on it may stay.
+    /// Whether it accepts no new generations, although running ones may stay.
     pub closed: bool,
 }
--- a/src/kernel/engine_moves.rs
+++ b/src/kernel/engine_moves.rs
@@ -1,20 +1,22 @@
-//! Which generations to move when an engine leaves, and where to.
+//! Planning of moves: which generations to move off a leaving engine, and to which engine.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::engine_ledger::{Engine, EngineLedger, MOVED_RUN_FILL_MAX, Run};
-use super::engine_run::{EngineEntry, MoveOrder};
+use super::engine_run::{ListedEngine, MoveOrder};
 
-/// Copies between halls take about twice as long as inside one.
-const OTHER_HALL_COST: f64 = 0.6;
+/// Added to the score of engines in another hall: copies between halls take about twice as long as
+/// copies within one.
+const CROSS_HALL_PENALTY: f64 = 0.6;
 
 impl EngineLedger {
-    /// Moves to begin now: one at a time for each engine that leaves and for each engine that takes in.
+    /// Plans the moves to start now. Each engine takes part in at most one move at a time, as
+    /// source or target.
     pub fn plan_moves(&mut self, now: Duration) -> Vec<MoveOrder> {
         let mut orders = Vec::new();
-        let mut busy = self.engines_busy();
-        for source in self.engines_to_empty() {
+        let mut busy = self.engines_in_moves();
+        for source in self.leaving_engines() {
             if busy.contains(&source.id) {
                 continue;
             }
@@ -22,8 +24,8 @@
                 busy.insert(order.source.clone());
                 busy.insert(order.target.clone());
                 let target = order.target.clone();
-                let target_counted = self.note_sent(&target, &order.entry, now);
-                self.change(&order.run, |run| run.moving_to = Some(target));
+                let target_counted = self.record_sent_request(&target, &order.entry, now);
+                self.update_run(&order.run, |run| run.moving_to = Some(target));
                 orders.push(MoveOrder {
                     target_counted,
                     ..order
@@ -33,8 +35,8 @@
         orders
     }
 
-    /// Engines between which a copy is under way.
-    fn engines_busy(&self) -> BTreeSet<String> {
+    /// Returns the source and target engines of moves in progress.
+    fn engines_in_moves(&self) -> BTreeSet<String> {
         let mut busy = BTreeSet::new();
         for run in self.moving.iter().filter_map(|name| self.runs.get(name)) {
             busy.extend(run.moving_to.clone());
@@ -43,55 +45,62 @@
         busy
     }
 
-    fn engines_to_empty(&self) -> Vec<EngineEntry> {
+    fn leaving_engines(&self) -> Vec<ListedEngine> {
         let engines = self.engines.values();
         let running = engines.filter(|engine| !engine.runs.is_empty());
-        let listed = running.filter_map(|engine| engine.entry.as_ref());
+        let listed = running.filter_map(|engine| engine.listed.as_ref());
         listed
             .filter(|engine| engine.leaving && engine.moves)
             .cloned()
             .collect()
     }
 
-    /// The engine with most room for a generation of another one; inside the hall before elsewhere.
+    /// Returns the target engine with the most free capacity for a generation, preferring engines
+    /// in the same hall.
     fn best_target(
         &self,
         run: &Run,
-        source: &EngineEntry,
+        source: &ListedEngine,
         busy: &BTreeSet<String>,
         now: Duration,
     ) -> Option<String> {
-        let usable = self.engines.values().filter(|engine| engine.is_sound(now));
+        let usable = self
+            .engines
+            .values()
+            .filter(|engine| engine.is_available(now));
         let fits = usable.filter_map(|engine| {
-            let entry = engine.entry.as_ref()?;
+            let entry = engine.listed.as_ref()?;
             if entry.id == source.id || !engine.is_open() || busy.contains(&entry.id) {
                 return None;
             }
-            if !self.takes_one_more(entry, &run.entry, now) || self.rests_for(&run.entry, &entry.id)
+            if !self.can_accept_request(entry, &run.entry, now)
+                || self.is_cooling_down_for(&run.entry, &entry.id)
             {
                 return None;
             }
-            let fill = engine.fill_with(entry, &run.reported, MOVED_RUN_FILL_MAX)?;
-            let elsewhere = if entry.hall == source.hall {
+            let fill = engine.fill_with_run(entry, &run.reported, MOVED_RUN_FILL_MAX)?;
+            let hall_penalty = if entry.hall == source.hall {
                 0.0
             } else {
-                OTHER_HALL_COST
+                CROSS_HALL_PENALTY
             };
-            Some((engine.compared(fill) + elsewhere, entry))
+            Some((engine.comparison_score(fill) + hall_penalty, entry))
         });
-        let best = fits.min_by(|one, other| one.0.total_cmp(&other.0));
+        let best = fits.min_by(|left, right| left.0.total_cmp(&right.0));
         best.map(|(_, engine)| engine.id.clone())
     }
 
-    /// Whether an engine that leaves takes an order to move a generation of an entry: an order is a request like others.
-    fn takes_order(&self, source: &EngineEntry, entry: &str, now: Duration) -> bool {
-        source.limit.is_none() || self.takes_one_more(source, entry, now)
+    /// Returns whether a leaving engine may be sent an order to move a generation of an entry
+    /// instance. An order counts against the engine's rate limit like any other request.
+    fn can_accept_order(&self, source: &ListedEngine, entry: &str, now: Duration) -> bool {
+        source.limit.is_none() || self.can_accept_request(source, entry, now)
     }
 
-    /// The next generation to move off an engine: the one that has most to lose for the memory that has to be copied.
+    /// Chooses the next generation to move off an engine: the one with the most work to lose per
+    /// token of memory to be copied.
     fn next_move(
         &self,
-        source: &EngineEntry,
+        source: &ListedEngine,
         busy: &BTreeSet<String>,
         now: Duration,
     ) -> Option<MoveOrder> {
@@ -102,13 +111,17 @@
                 && run.confirmed
                 && run.reported.made_tokens > 0
                 && now >= run.next_move_at
-                && self.takes_order(source, &run.entry, now)
+                && self.can_accept_order(source, &run.entry, now)
         });
         let mut candidates: Vec<&Run> = movable.collect();
-        // Those that may end by themselves come last: hints are often too short.
-        candidates.sort_by(|one, other| {
-            let ends_soon = one.reported.ends_soon().cmp(&other.reported.ends_soon());
-            ends_soon.then(move_worth(other).total_cmp(&move_worth(one)))
+        // Generations that are about to end come last: hints are often too short.
+        candidates.sort_by(|left, right| {
+            let by_ending_soon = left
+                .reported
+                .is_ending_soon()
+                .cmp(&right.reported.is_ending_soon());
+            by_ending_soon
+                .then(loss_per_copied_token(right).total_cmp(&loss_per_copied_token(left)))
         });
         candidates.into_iter().find_map(|run| {
             let target = self.best_target(run, source, busy, now)?;
@@ -123,9 +136,9 @@
     }
 }
 
-/// What is lost with a generation, for each token that has to be copied.
-fn move_worth(run: &Run) -> f64 {
+/// Returns the work that is lost with a generation, per token of memory that has to be copied.
+fn loss_per_copied_token(run: &Run) -> f64 {
     let demand = &run.reported.demand;
-    let size = f64::from(demand.prompt_tokens) + 10.0 * demand.expected_made();
-    size / run.reported.held()
+    let size = f64::from(demand.prompt_tokens) + 10.0 * demand.expected_output_tokens();
+    size / run.reported.current_tokens()
 }
--- a/src/kernel/engine_run.rs
+++ b/src/kernel/engine_run.rs
@@ -1,4 +1,4 @@
-//! A generation on an engine: what it needs, and the memory and time that it is expected to take.
+//! A generation on an engine: its demand, and the memory and time that it is predicted to take.
 
 use std::time::Duration;
 
@@ -6,150 +6,158 @@
 
 use super::permits::LimitShare;
 
-/// Tokens that a generation makes in a second on an engine with several others; measured at 63 ms an event of 4.
-const MADE_TOKENS_PER_S: f64 = 64.0;
-/// How far ahead memory is predicted. Longer than an owner takes to learn of an end, and no longer than new ones wait for room: what is made later than
-/// that meets the room that others have given back.
-const HORIZON: Duration = Duration::from_millis(1_200);
-/// A generation that is expected to end within this time is moved after the others.
-const ENDS_SOON: Duration = Duration::from_millis(700);
-/// Expected share of the most tokens that may be made, where the caller gives no hint.
-const MADE_SHARE: f64 = 0.35;
-/// Weight of the caller's hint against [`MADE_SHARE`], in logarithms: hints are right in the median and far off singly.
+/// Tokens that a generation decodes in a second on an engine shared with several others; measured
+/// as 63 ms per event of 4 tokens.
+const DECODE_TOKENS_PER_S: f64 = 64.0;
+/// How far ahead memory use is predicted. It is longer than an owner takes to learn that a
+/// generation ended, and no longer than new generations wait for capacity: tokens generated later
+/// use memory that others have freed by then.
+const PREDICTION_HORIZON: Duration = Duration::from_millis(1_200);
+/// Generations expected to end within this time are moved last.
+const ENDS_SOON_WITHIN: Duration = Duration::from_millis(700);
+/// Expected output as a share of the maximum if the caller gives no hint.
+const OUTPUT_SHARE_DEFAULT: f64 = 0.35;
+/// Weight of the caller's hint against [`OUTPUT_SHARE_DEFAULT`], on a logarithmic scale: hints are
+/// right in the median, but single ones are far off.
 const HINT_WEIGHT: f64 = 0.5;
 
-/// What a generation needs.
+/// Resources that a generation needs.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RunDemand {
-    /// Names the generation.
+    /// Id of the generation.
     pub run: String,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that may be made.
+    /// Maximum number of output tokens.
     pub made_max_tokens: u32,
-    /// The caller's guess of the tokens to be made.
+    /// The caller's estimate of the number of output tokens.
     pub made_hint_tokens: Option<f64>,
-    /// 0 is served first.
+    /// Priority; 0 is served first.
     pub priority: u32,
 }
 
-/// An engine as the list and the configuration have it.
+/// An engine as described by the endpoint list and the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct EngineEntry {
-    /// Names this start of the engine.
+pub struct ListedEngine {
+    /// Id of this incarnation of the engine.
     pub id: String,
-    /// Hall in which it stands.
+    /// Hall where it is located.
     pub hall: String,
-    /// Generations decoded at once.
+    /// Generations decoded concurrently.
     pub slots: u32,
-    /// Memory, in tokens.
+    /// KV-cache memory in tokens.
     pub memory_tokens: u32,
-    /// Whether what runs on it has to go.
+    /// Whether its generations have to be moved off.
     pub leaving: bool,
-    /// Whether it takes no new generations, though what runs on it may stay.
+    /// Whether it accepts no new generations, although running ones may stay.
     pub closed: bool,
     /// Whether generations can be moved off it.
     pub moves: bool,
-    /// What it bears while it is cold; nothing where it is warm, or no bound is told.
-    pub cold: Option<ColdEngine>,
-    /// What it takes from all instances together, and the part that is placed from here; nothing where it names no limit.
+    /// Rate limit while it is cold; `None` if it is warm or no limit is configured.
+    pub cold: Option<ColdLimit>,
+    /// Rate limit that it announced for all instances together, and this instance's share of it;
+    /// `None` if it announced none.
     pub limit: Option<LimitShare>,
 }
 
-/// An engine that has just started.
+/// Rate limit of an engine that has recently started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct ColdEngine {
-    /// Until when it is cold.
+pub struct ColdLimit {
+    /// Time at which the engine counts as warm.
     pub until: Duration,
-    /// Requests that it may be sent from here in any second until then.
+    /// Requests per second that this instance may send to it until then.
     pub share_per_s: u32,
 }
 
-/// A generation as an entry reports it.
+/// A generation as reported by its entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ReportedRun {
-    /// What it needs.
+    /// Its demand.
     pub demand: RunDemand,
     /// Engine that runs it.
     pub endpoint: String,
-    /// Tokens made.
+    /// Tokens generated so far.
     pub made_tokens: u32,
 }
 
-/// A move that the entry of a generation is to carry out.
+/// An order to an entry instance to move one of its generations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveOrder {
-    /// The generation.
+    /// Id of the generation.
     pub run: String,
-    /// The instance that serves it.
+    /// Instance that serves it.
     pub entry: String,
-    /// Engine that it leaves.
+    /// Engine that it is moved from.
     pub source: String,
-    /// Engine on which it goes on.
+    /// Engine that it is moved to.
     pub target: String,
-    /// Whether going on there is one of the requests that the target takes from all instances together.
+    /// Whether resuming on the target was counted against the target's rate limit.
     pub target_counted: bool,
 }
 
-/// How a move ended.
+/// Result of a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveResult {
-    /// The memory was copied, and the generation goes on at the target.
+    /// The memory was copied, and the generation continues on the target.
     Copied,
-    /// The entry does not serve this generation any more.
+    /// The entry instance no longer serves this generation.
     RunGone,
-    /// The target had no room.
+    /// The target had no capacity.
     NoRoom,
-    /// Anything else.
+    /// Any other failure.
     Failed,
 }
 
-/// Tokens that a generation makes within the horizon.
+/// Returns the number of tokens that a generation decodes within the horizon.
 fn growth_within_horizon() -> f64 {
-    MADE_TOKENS_PER_S * HORIZON.as_secs_f64()
+    DECODE_TOKENS_PER_S * PREDICTION_HORIZON.as_secs_f64()
 }
 
 impl RunDemand {
-    /// Tokens expected to be made in all.
-    pub(super) fn expected_made(&self) -> f64 {
-        let most = f64::from(self.made_max_tokens.max(1));
-        let usual = (most * MADE_SHARE).max(1.0);
-        let hint = self.made_hint_tokens.unwrap_or(usual).clamp(1.0, most);
-        let blended = usual.ln() * (1.0 - HINT_WEIGHT) + hint.ln() * HINT_WEIGHT;
-        blended.exp().min(most)
+    /// Returns the expected total number of output tokens.
+    pub(super) fn expected_output_tokens(&self) -> f64 {
+        let max_tokens = f64::from(self.made_max_tokens.max(1));
+        let prior = (max_tokens * OUTPUT_SHARE_DEFAULT).max(1.0);
+        let hint = self
+            .made_hint_tokens
+            .unwrap_or(prior)
+            .clamp(1.0, max_tokens);
+        let blended = prior.ln() * (1.0 - HINT_WEIGHT) + hint.ln() * HINT_WEIGHT;
+        blended.exp().min(max_tokens)
     }
 
-    /// Whether it is expected to end within the horizon.
+    /// Returns whether the generation is expected to end within the horizon.
     pub(super) fn ends_within_horizon(&self) -> bool {
-        self.expected_made() <= growth_within_horizon()
+        self.expected_output_tokens() <= growth_within_horizon()
     }
 
-    /// Tokens in memory within the horizon after the start.
-    pub(super) fn predicted_at_start(&self) -> f64 {
-        f64::from(self.prompt_tokens) + self.expected_made().min(growth_within_horizon())
+    /// Returns the predicted memory, in tokens, at the end of the horizon after the start.
+    pub(super) fn predicted_tokens_at_start(&self) -> f64 {
+        f64::from(self.prompt_tokens) + self.expected_output_tokens().min(growth_within_horizon())
     }
 }
 
 impl ReportedRun {
-    /// Tokens in memory now.
-    pub(super) fn held(&self) -> f64 {
+    /// Returns the memory in use now, in tokens.
+    pub(super) fn current_tokens(&self) -> f64 {
         f64::from(self.demand.prompt_tokens) + f64::from(self.made_tokens)
     }
 
-    /// Tokens still expected; at least a few, since hints are often too short.
-    fn remaining(&self) -> f64 {
+    /// Returns the expected number of tokens still to be generated. Beyond the hint it is a quarter
+    /// of those generated so far, because hints are often too short.
+    fn remaining_tokens(&self) -> f64 {
         let made = f64::from(self.made_tokens);
-        let most = f64::from(self.demand.made_max_tokens);
-        let expected = self.demand.expected_made() - made;
-        expected.max(made * 0.25).min(most - made).max(0.0)
+        let max_tokens = f64::from(self.demand.made_max_tokens);
+        let expected = self.demand.expected_output_tokens() - made;
+        expected.max(made * 0.25).min(max_tokens - made).max(0.0)
     }
 
-    /// Tokens in memory within the horizon.
-    pub(super) fn predicted(&self) -> f64 {
-        self.held() + self.remaining().min(growth_within_horizon())
+    /// Returns the predicted memory, in tokens, at the end of the horizon.
+    pub(super) fn predicted_tokens(&self) -> f64 {
+        self.current_tokens() + self.remaining_tokens().min(growth_within_horizon())
     }
 
-    pub(super) fn ends_soon(&self) -> bool {
-        self.remaining() < MADE_TOKENS_PER_S * ENDS_SOON.as_secs_f64()
+    pub(super) fn is_ending_soon(&self) -> bool {
+        self.remaining_tokens() < DECODE_TOKENS_PER_S * ENDS_SOON_WITHIN.as_secs_f64()
     }
 }
--- a/src/kernel/room_queue.rs
+++ b/src/kernel/room_queue.rs
@@ -96,7 +96,7 @@
         } else {
             self.long_tokens
         };
-        demand.predicted_at_start() >= smallest
+        demand.predicted_tokens_at_start() >= smallest
     }
 
     fn note(&mut self, demand: &RunDemand) {
@@ -105,7 +105,7 @@
         } else {
             &mut self.long_tokens
         };
-        *smallest = smallest.min(demand.predicted_at_start());
+        *smallest = smallest.min(demand.predicted_tokens_at_start());
     }
 }
 
--- a/tests/kernel/engine_ledger.rs
+++ b/tests/kernel/engine_ledger.rs
@@ -1,17 +1,18 @@
-//! The owner's ledger: memory predicted, generations moved off engines that leave, nothing lost with an owner or an entry.
+//! Engine ledger: predicted memory, moves off leaving engines, and recovery after the loss of an
+//! owner or an entry instance.
 
 use std::time::Duration;
 
 use larkwick::kernel::engine_ledger::{
-    EngineEntry, EngineLedger, MoveResult, ReportedRun, RunDemand,
+    EngineLedger, ListedEngine, MoveResult, ReportedRun, RunDemand,
 };
 use larkwick::kernel::permits::{LimitShare, SumShare};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn engine(id: &str, hall: &str, leaving: bool) -> EngineEntry {
-    EngineEntry {
+fn engine(id: &str, hall: &str, leaving: bool) -> ListedEngine {
+    ListedEngine {
         id: id.to_owned(),
         hall: hall.to_owned(),
         slots: 24,
@@ -42,14 +43,14 @@
     }
 }
 
-fn ledger(engines: &[EngineEntry]) -> EngineLedger {
+fn ledger(engines: &[ListedEngine]) -> EngineLedger {
     let mut ledger = EngineLedger::default();
     ledger.set_engines(engines.to_vec());
     ledger
 }
 
 #[test]
-fn place_no_engine_beyond_its_memory() {
+fn place_never_exceeds_engine_memory() {
     let mut ledger = ledger(&[engine("a", "h", false), engine("b", "h", false)]);
     let mut granted = 0;
     while let Some(place) = ledger.place(&demand(&format!("r{granted}"), 3_000), "n", &[], NOW) {
@@ -57,7 +58,7 @@
         granted += 1;
         assert!(granted < 100);
     }
-    // 0.97 of 34,000 tokens, each generation 3,000 and what it makes within the horizon.
+    // 0.97 of 34,000 tokens; each generation takes 3,000 and what it generates within the horizon.
     assert_eq!(granted, 20);
     let fills = ledger.summary();
     let fills = fills
@@ -66,23 +67,24 @@
     assert!(fills.into_iter().all(|fill| fill <= 0.97));
 }
 
-/// Copies that a second engine kept for the case that the first one dies took the room of live generations in a crowd.
+/// A generation must take memory on one engine only: reserving backup copies on a second engine
+/// took capacity from running generations under high load.
 #[test]
-fn place_memory_held_on_one_engine_alone() {
+fn place_uses_memory_on_one_engine_only() {
     let mut ledger = ledger(&[engine("a", "h", false), engine("b", "h", false)]);
     let granted = ledger.place(&demand("r", 3_000), "n", &[], NOW);
-    let granted = granted.expect("a place");
+    let granted = granted.expect("an engine with capacity");
     for (id, engine) in ledger.summary() {
         assert_eq!(engine.places, u32::from(id == granted), "{id}");
     }
 }
 
 #[test]
-fn place_leaving_excluded_refused_and_dead_engines_left_out() {
+fn place_skips_leaving_excluded_refusing_and_unreachable_engines() {
     let engines = ["a", "b", "c", "d"].map(|id| engine(id, "h", id == "a"));
     let mut ledger = ledger(&engines);
-    ledger.refused("b", NOW);
-    ledger.found_dead("c", NOW);
+    ledger.record_refusal("b", NOW);
+    ledger.record_unreachable("c", NOW);
     let excluded = ["d".to_owned()];
     assert!(
         ledger
@@ -91,7 +93,7 @@
     );
     let later = NOW + Duration::from_secs(1);
     let place = ledger.place(&demand("r", 100), "n", &excluded, later);
-    assert_eq!(place.expect("a place"), "b");
+    assert_eq!(place.expect("an engine with capacity"), "b");
 }
 
 #[test]
@@ -102,79 +104,80 @@
         engine("c", "i", false),
     ]);
     let runs = (0..3).map(|number| reported(&format!("r{number}"), "a", 100));
-    ledger.take_report("n", runs.collect(), NOW);
+    ledger.apply_report("n", runs.collect(), NOW);
     let orders = ledger.plan_moves(NOW);
     assert_eq!(orders.len(), 1);
-    // Inside the hall before elsewhere.
+    // Engines in the same hall come first.
     assert_eq!(
         (orders[0].source.as_str(), orders[0].target.as_str()),
         ("a", "b")
     );
     assert!(ledger.plan_moves(NOW).is_empty());
-    ledger.move_ended(&orders[0], MoveResult::Copied, NOW);
+    ledger.record_move_result(&orders[0], MoveResult::Copied, NOW);
     assert_eq!(ledger.plan_moves(NOW).len(), 1);
 }
 
 #[test]
-fn plan_moves_generation_without_an_event_stays() {
+fn plan_moves_generation_without_output_not_moved() {
     let mut ledger = ledger(&[engine("a", "h", true), engine("b", "h", false)]);
-    ledger.take_report("n", vec![reported("r", "a", 0)], NOW);
+    ledger.apply_report("n", vec![reported("r", "a", 0)], NOW);
     assert!(ledger.plan_moves(NOW).is_empty());
 }
 
 #[test]
-fn plan_moves_failed_move_tried_again_later() {
+fn plan_moves_failed_move_retried_after_delay() {
     let mut ledger = ledger(&[engine("a", "h", true), engine("b", "h", false)]);
-    ledger.take_report("n", vec![reported("r", "a", 4)], NOW);
+    ledger.apply_report("n", vec![reported("r", "a", 4)], NOW);
     let order = ledger.plan_moves(NOW).remove(0);
-    ledger.move_ended(&order, MoveResult::NoRoom, NOW);
+    ledger.record_move_result(&order, MoveResult::NoRoom, NOW);
     assert!(ledger.plan_moves(NOW).is_empty());
     assert_eq!(ledger.plan_moves(NOW + Duration::from_millis(200)), [order]);
 }
 
-/// A new owner knows everything after one round of reports.
+/// A new owner has the complete state after one round of reports.
 #[test]
-fn take_report_new_owner_moves_what_it_heard_of() {
+fn apply_report_new_owner_moves_reported_generations() {
     let engines = [engine("a", "h", true), engine("b", "h", false)];
     let mut new_owner = ledger(&engines);
     assert!(new_owner.plan_moves(NOW).is_empty());
-    new_owner.take_report("n", vec![reported("r", "a", 40)], NOW);
+    new_owner.apply_report("n", vec![reported("r", "a", 40)], NOW);
     assert_eq!(new_owner.plan_moves(NOW).len(), 1);
 }
 
 #[test]
-fn take_report_ended_generation_gives_its_memory_back() {
+fn apply_report_ended_generation_frees_its_memory() {
     let mut ledger = ledger(&[engine("a", "h", false)]);
-    ledger.take_report("n", vec![reported("r", "a", 4), reported("s", "a", 4)], NOW);
-    ledger.take_report("n", vec![reported("s", "a", 8)], NOW);
-    assert_eq!(ledger.runs(), 1);
+    ledger.apply_report("n", vec![reported("r", "a", 4), reported("s", "a", 4)], NOW);
+    ledger.apply_report("n", vec![reported("s", "a", 8)], NOW);
+    assert_eq!(ledger.run_count(), 1);
 }
 
 #[test]
-fn take_report_young_grant_is_kept_until_it_should_be_reported() {
+fn apply_report_recent_grant_kept_until_report_is_due() {
     let mut ledger = ledger(&[engine("a", "h", false)]);
     assert!(ledger.place(&demand("r", 3_000), "n", &[], NOW).is_some());
-    ledger.take_report("n", Vec::new(), NOW);
-    assert_eq!(ledger.runs(), 1);
-    ledger.take_report("n", Vec::new(), NOW + Duration::from_secs(2));
-    assert_eq!(ledger.runs(), 0);
+    ledger.apply_report("n", Vec::new(), NOW);
+    assert_eq!(ledger.run_count(), 1);
+    ledger.apply_report("n", Vec::new(), NOW + Duration::from_secs(2));
+    assert_eq!(ledger.run_count(), 0);
 }
 
 #[test]
-fn expire_silent_entry_holds_nothing() {
+fn expire_drops_generations_of_silent_entry_instance() {
     let mut ledger = ledger(&[engine("a", "h", false)]);
-    ledger.take_report("n", vec![reported("r", "a", 4)], NOW);
+    ledger.apply_report("n", vec![reported("r", "a", 4)], NOW);
     ledger.expire(NOW + Duration::from_secs(2));
-    assert_eq!(ledger.runs(), 1);
+    assert_eq!(ledger.run_count(), 1);
     ledger.expire(NOW + Duration::from_secs(3));
-    assert_eq!(ledger.runs(), 0);
+    assert_eq!(ledger.run_count(), 0);
 }
 
 proptest! {
-    /// Whatever happens in whatever order: no engine is source and target of two moves at once, none that leaves is a target, and
-    /// no grant goes beyond an engine's memory.
+    /// After any sequence of operations, no generation is moved twice at the same time, no leaving
+    /// engine is a target, no move has the same source and target, and no grant exceeds an engine's
+    /// memory.
     #[test]
-    fn plan_moves_any_course_links_used_once(
+    fn plan_moves_any_sequence_keeps_invariants(
         steps in proptest::collection::vec((0_u8..5, 0_usize..6, 1_u32..6_000), 1..60)
     ) {
         let names = ["a", "b", "c", "d", "e", "f"];
@@ -198,13 +201,13 @@
                 }
                 2 => {
                     let run = reported(&format!("r{number}"), names[index], tokens / 10);
-                    ledger.take_report(&format!("n{number}"), vec![run], now);
+                    ledger.apply_report(&format!("n{number}"), vec![run], now);
                 }
                 3 => {
                     if !open.is_empty() {
                         let order = open.remove(index % open.len());
                         let results = [MoveResult::Copied, MoveResult::NoRoom, MoveResult::Failed, MoveResult::RunGone];
-                        ledger.move_ended(&order, results[index % 4], now);
+                        ledger.record_move_result(&order, results[index % 4], now);
                     }
                 }
                 _ => ledger.expire(now),
@@ -225,11 +228,11 @@
     }
 }
 
-/// 1,500 generations on 128 engines: what the ledger keeps with each engine is what counting all generations gives, after any course of
-/// grants, reports, moves and losses.
+/// With 1,500 generations on 128 engines, the cached usage of each engine equals the usage computed
+/// from all generations, after grants and reports.
 #[test]
-fn summary_large_course_same_as_counted_from_nothing() {
-    let engines: Vec<EngineEntry> = (0..128)
+fn summary_cached_usage_equals_recomputed() {
+    let engines: Vec<ListedEngine> = (0..128)
         .map(|number| engine(&format!("e{number}"), ["a", "b", "c"][number % 3], false))
         .collect();
     let mut ledger = ledger(&engines);
@@ -240,25 +243,25 @@
         let name = format!("r{number}");
         let now = Duration::from_millis(u64::from(number));
         let granted = ledger.place(&demand(&name, 1_000), &entry, &[], now);
-        let granted = granted.expect("room");
+        let granted = granted.expect("an engine with capacity");
         let runs = reports.entry(entry.clone()).or_default();
         runs.push(reported(&name, &granted, number % 7));
         if number % 3 == 0 && runs.len() > 1 {
             runs.remove(0);
         }
-        ledger.take_report(&entry, runs.clone(), now);
+        ledger.apply_report(&entry, runs.clone(), now);
         if number % 100 == 50 {
             let order = ledger.plan_moves(now);
-            assert!(order.is_empty(), "no engine leaves");
+            assert!(order.is_empty(), "no engine is leaving");
         }
     }
     let now = Duration::from_millis(1_500);
     ledger.expire(now);
     let mut fresh = self::ledger(&engines);
     for (entry, runs) in &reports {
-        fresh.take_report(entry, runs.clone(), now);
+        fresh.apply_report(entry, runs.clone(), now);
     }
-    assert_eq!(ledger.runs(), fresh.runs());
+    assert_eq!(ledger.run_count(), fresh.run_count());
     for ((id, kept), (_, counted)) in ledger.summary().into_iter().zip(fresh.summary()) {
         assert_eq!(kept.places, counted.places, "{id}");
         assert!(
@@ -268,29 +271,33 @@
     }
 }
 
-/// A hundred instances that cannot reach the owner each place alone, knowing only their own generations: they may not all begin with the same
-/// engine. Before, the first one of the list took all.
+/// A hundred instances that cannot reach the owner place on their own, knowing only their own
+/// generations. They must not all start with the same engine; without the tie-breaker, the first
+/// listed engine got all generations.
 #[test]
-fn place_many_ledgers_alone_spread_over_engines() {
-    let engines: Vec<EngineEntry> = (0..40)
+fn place_independent_ledgers_spread_over_engines() {
+    let engines: Vec<ListedEngine> = (0..40)
         .map(|number| engine(&format!("e{number}"), "a", false))
         .collect();
     let mut placed: std::collections::BTreeMap<String, u32> = std::collections::BTreeMap::new();
     for number in 0..100 {
-        let mut ledger = EngineLedger::of_instance(&format!("n{number}"));
+        let mut ledger = EngineLedger::for_instance(&format!("n{number}"));
         ledger.set_engines(engines.clone());
         let run = format!("r{number}");
         let granted = ledger.place(&demand(&run, 3_000), "n", &[], Duration::ZERO);
-        *placed.entry(granted.expect("room")).or_default() += 1;
+        *placed
+            .entry(granted.expect("an engine with capacity"))
+            .or_default() += 1;
     }
     let most = placed.values().max().copied();
     assert!(most <= Some(10), "{placed:?}");
 }
 
-/// Engines are full to the share that new generations may fill, as they are each time others have left: one that ends within the horizon is
-/// still placed, since it gives its room back before those that move need it. Before, it was refused.
+/// Engines are filled up to the limit for new generations, as happens repeatedly after others have
+/// left. A generation that ends within the horizon must still be placed, since it frees its memory
+/// before moved generations need it.
 #[test]
-fn place_short_generation_fits_where_long_ones_do_not() {
+fn place_short_generation_above_limit_for_long_ones() {
     let mut ledger = ledger(&[engine("e1", "a", false)]);
     let mut count = 0;
     while ledger
@@ -312,10 +319,10 @@
 }
 
 #[test]
-fn place_engine_that_asked_another_entry_for_rest_last_choice() {
+fn place_engine_cooling_down_for_another_entry_is_last_choice() {
     let mut ledger = ledger(&[engine("asked", "h", false), engine("other", "h", false)]);
-    ledger.take_report("turned-away", Vec::new(), NOW);
-    ledger.rest_for("turned-away", ["asked".to_owned()].into());
+    ledger.apply_report("turned-away", Vec::new(), NOW);
+    ledger.set_cooling_down("turned-away", ["asked".to_owned()].into());
     let place =
         |ledger: &mut EngineLedger, run: &str| ledger.place(&demand(run, 3_000), "n", &[], NOW);
     let first: Vec<String> = (0..10)
@@ -324,15 +331,16 @@
     assert!(first.iter().all(|engine| engine == "other"), "{first:?}");
     let granted = place(&mut ledger, "no room elsewhere");
     assert_eq!(granted.as_deref(), Some("asked"));
-    // The entry says nothing any more, and neither does what it said count.
+    // The entry instance no longer reports, so its cooldowns no longer count.
     let later = NOW + Duration::from_secs(3);
     ledger.expire(later);
     assert_eq!(place(&mut ledger, "after").as_deref(), Some("asked"));
 }
 
-/// An engine that asked the entry of a generation for rest refuses what is moved there; the next best one takes it.
+/// An engine in cooldown for the entry instance of a generation would refuse it, so the next best
+/// target is chosen.
 #[test]
-fn plan_moves_target_rests_for_the_entry_another_one_chosen() {
+fn plan_moves_skips_target_cooling_down_for_the_entry() {
     let engines = [
         engine("leaves", "h", true),
         engine("near", "h", false),
@@ -340,16 +348,16 @@
     ];
     for (entry, expected) in [("asked", "far"), ("not-asked", "near")] {
         let mut ledger = ledger(&engines);
-        ledger.take_report(entry, vec![reported("r", "leaves", 100)], NOW);
-        ledger.rest_for("asked", ["near".to_owned()].into());
+        ledger.apply_report(entry, vec![reported("r", "leaves", 100)], NOW);
+        ledger.set_cooling_down("asked", ["near".to_owned()].into());
         let orders = ledger.plan_moves(NOW);
         assert_eq!(orders[0].target, expected, "for {entry}");
     }
 }
 
-/// An engine that takes few from all instances together looks empty, and is granted no more often for it.
+/// A rate-limited engine looks empty, but must not be granted more requests than its limit.
 #[test]
-fn place_engine_that_names_a_limit_granted_as_often_as_it_takes() {
+fn place_rate_limited_engine_granted_within_its_limit() {
     let limit = LimitShare {
         per_s: 2.0,
         share: SumShare { lending: 2, of: 2 },
@@ -358,7 +366,7 @@
     limited.limit = Some(limit);
     let mut ledger = EngineLedger::default();
     ledger.set_engines(vec![limited, engine("other", "h", false)]);
-    ledger.settle_permits(NOW);
+    ledger.sync_permits(NOW);
     let mut granted = 0;
     for number in 0..500_u64 {
         let now = NOW + Duration::from_millis(number * 20);
@@ -367,7 +375,7 @@
         let place = ledger.place(&demand(&run, 100), entry, &[], now);
         granted += u32::from(place.as_deref() == Some("limited"));
         ledger.release(&run);
-        assert!(place.is_some(), "the other one has room");
+        assert!(place.is_some(), "the other engine has capacity");
     }
     assert!(
         (18..=21).contains(&granted),
@@ -375,9 +383,10 @@
     );
 }
 
-/// To move what runs on an engine that leaves takes requests to it, and one to the engine that takes it in.
+/// Moving a generation takes requests to the leaving source and one request to the target; both are
+/// subject to the engines' rate limits.
 #[test]
-fn plan_moves_from_and_to_engines_that_name_a_limit_as_often_as_they_take() {
+fn plan_moves_respects_limits_of_source_and_target() {
     let share = SumShare { lending: 1, of: 1 };
     let limit = |per_s| Some(LimitShare { per_s, share });
     let mut source = engine("source", "h", true);
@@ -386,11 +395,17 @@
     target.limit = limit(1.0);
     let mut ledger = EngineLedger::default();
     ledger.set_engines(vec![source.clone(), target.clone()]);
-    ledger.settle_permits(NOW);
-    ledger.take_report("n", vec![reported("r1", "source", 10)], NOW);
-    assert!(ledger.plan_moves(NOW).is_empty(), "none takes a request");
+    ledger.sync_permits(NOW);
+    ledger.apply_report("n", vec![reported("r1", "source", 10)], NOW);
+    assert!(
+        ledger.plan_moves(NOW).is_empty(),
+        "no engine accepts a request"
+    );
     let later = NOW + Duration::from_secs(3);
-    assert!(ledger.plan_moves(later).is_empty(), "the source takes none");
+    assert!(
+        ledger.plan_moves(later).is_empty(),
+        "the source accepts no request"
+    );
     source.limit = None;
     ledger.set_engines(vec![source, target]);
     let orders = ledger.plan_moves(later);
--- a/tests/kernel/room_queue.rs
+++ b/tests/kernel/room_queue.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use larkwick::kernel::engine_ledger::{EngineEntry, EngineLedger, ReportedRun, RunDemand};
+use larkwick::kernel::engine_ledger::{EngineLedger, ListedEngine, ReportedRun, RunDemand};
 use larkwick::kernel::room_queue::{Answer, RoomQueue, RoomRequest, Ticket};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn engine(number: usize) -> EngineEntry {
-    EngineEntry {
+fn engine(number: usize) -> ListedEngine {
+    ListedEngine {
         id: format!("e{number}"),
         hall: "h".to_owned(),
         slots: 24,
@@ -56,7 +56,7 @@
             made_tokens: 40,
         });
     }
-    ledger.take_report("n", running.clone(), ms(0));
+    ledger.apply_report("n", running.clone(), ms(0));
     (ledger, running)
 }
 
@@ -88,7 +88,7 @@
     let mut order = Vec::new();
     for step in 2..6 {
         running.pop();
-        ledger.take_report("n", running.clone(), ms(step));
+        ledger.apply_report("n", running.clone(), ms(step));
         let settled = queue.settle(&mut ledger, ms(step));
         order.extend(settled.iter().map(|one| one.ticket));
     }
@@ -103,16 +103,16 @@
     let large = queue.ask(&mut ledger, request("large", 5_800, 1, ms(1_000)), ms(0));
     let small = queue.ask(&mut ledger, request("small", 2_800, 1, ms(1_000)), ms(0));
     running.pop();
-    ledger.take_report("n", running.clone(), ms(100));
+    ledger.apply_report("n", running.clone(), ms(100));
     let settled = queue.settle(&mut ledger, ms(100));
     assert_eq!(settled.len(), 1);
     assert_eq!(settled[0].ticket, waits(&small));
     let next = queue.ask(&mut ledger, request("next", 2_800, 1, ms(2_000)), ms(550));
     running.pop();
-    ledger.take_report("n", running.clone(), ms(600));
+    ledger.apply_report("n", running.clone(), ms(600));
     assert!(queue.settle(&mut ledger, ms(600)).is_empty());
     running.pop();
-    ledger.take_report("n", running.clone(), ms(700));
+    ledger.apply_report("n", running.clone(), ms(700));
     let settled = queue.settle(&mut ledger, ms(700));
     assert_eq!(settled.first().map(|one| one.ticket), Some(waits(&large)));
     assert!(settled.iter().all(|one| one.ticket != waits(&next)));
@@ -151,7 +151,7 @@
         let now = ms(tick * 20);
         running.retain(|(ends, _)| *ends > now);
         let reported = running.iter().map(|(_, run)| run.clone()).collect();
-        ledger.take_report("n", reported, now);
+        ledger.apply_report("n", reported, now);
         for settled in queue.settle(&mut ledger, now) {
             let (run, arrived) = waiting.remove(&settled.ticket).expect("it waits");
             if let Some(endpoint) = settled.granted {
@@ -208,7 +208,7 @@
     let next = queue.ask(&mut ledger, request("next", 2_900, 1, ms(900)), ms(0));
     queue.forget(waits(&gone));
     running.pop();
-    ledger.take_report("n", running, ms(20));
+    ledger.apply_report("n", running, ms(20));
     let settled = queue.settle(&mut ledger, ms(20));
     assert_eq!(settled.len(), 1);
     assert_eq!(settled[0].ticket, waits(&next));
@@ -263,7 +263,7 @@
     const MADE_PER_S: f64 = 100.0;
     const LONG_LASTS_MS: u64 = 7_500;
     const SHORT_LASTS_MS: u64 = 600;
-    let crowded = |number| EngineEntry {
+    let crowded = |number| ListedEngine {
         memory_tokens: 21_900,
         ..engine(number)
     };
@@ -295,7 +295,7 @@
         }
         outcome.overfull += held.values().filter(|held| **held > 21_900).count();
         let reported = running.iter().map(|(_, run)| run.clone()).collect();
-        ledger.take_report("n", reported, now);
+        ledger.apply_report("n", reported, now);
         let mut granted: Vec<(String, RunDemand)> = Vec::new();
         for settled in queue.settle(&mut ledger, now) {
             let demand = waiting.remove(&settled.ticket).expect("it waits");
