--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -16,6 +16,7 @@
 use super::node::Gateway;
 use super::ownership::{acts_as_owner, note_owner, owner_address, owner_to_ask};
 use super::runs::NotTaken;
+use crate::kernel::admission_queue::{Admission, AdmissionRequest};
 use crate::kernel::clock::millis;
 use crate::kernel::cold::Sender;
 use crate::kernel::engine_ledger::{
@@ -23,7 +24,6 @@
 };
 use crate::kernel::fleet::{EndpointEntry, Standing};
 use crate::kernel::permits::LimitShare;
-use crate::kernel::room_queue::{Answer, RoomRequest};
 use crate::peer::client::within;
 use crate::peer::convert;
 use crate::peer::generated as wire;
@@ -130,11 +130,11 @@
 ) -> Option<Placed> {
     let shard = gateway.ledgers.shard(service);
     let now = gateway.now();
-    let request = RoomRequest {
+    let request = AdmissionRequest {
         demand: demand.clone(),
         entry: entry.to_owned(),
         excluded: excluded.to_vec(),
-        until: now + wait,
+        deadline: now + wait,
     };
     let waiting = {
         let mut shard = shard.lock();
@@ -145,10 +145,10 @@
             waiters,
             ..
         } = &mut *shard;
-        match queue.ask(ledger, request, now) {
-            Answer::Granted(engine) => return Some(placed(ledger, engine, now)),
-            Answer::Refused => return None,
-            Answer::Waits(ticket) => {
+        match queue.request_admission(ledger, request, now) {
+            Admission::Granted(engine) => return Some(placed(ledger, engine, now)),
+            Admission::Refused => return None,
+            Admission::Queued(ticket) => {
                 let (answer, waiting) = oneshot::channel();
                 let run = demand.run.clone();
                 waiters.insert(ticket, Waiter { run, answer });
@@ -323,11 +323,11 @@
     waiters.retain(|ticket, waiter| {
         let has_gone = waiter.answer.is_closed();
         if has_gone {
-            queue.forget(*ticket);
+            queue.cancel(*ticket);
         }
         !has_gone
     });
-    for settled in queue.settle(ledger, now) {
+    for settled in queue.admit_waiting(ledger, now) {
         let Some(waiter) = waiters.remove(&settled.ticket) else {
             continue;
         };
--- a/src/gateway/ledgers.rs
+++ b/src/gateway/ledgers.rs
@@ -6,11 +6,11 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 
+use crate::kernel::admission_queue::{AdmissionQueue, QueueTicket};
 use crate::kernel::cold::Sender;
 use crate::kernel::engine_ledger::{EngineLedger, EngineSummary};
 use crate::kernel::owner_contact::OwnerContact;
 use crate::kernel::permits::SumShare;
-use crate::kernel::room_queue::{RoomQueue, Ticket};
 
 /// Where a generation that waits for room is answered.
 pub(crate) struct Waiter {
@@ -37,9 +37,9 @@
     pub(crate) ledger: EngineLedger,
     /// Configuration and state of the fleet that the ledger's engines were taken from.
     pub(crate) engines_of: Option<EnginesOf>,
-    pub(crate) queue: RoomQueue,
+    pub(crate) queue: AdmissionQueue,
     /// Those that wait in the queue.
-    pub(crate) waiters: HashMap<Ticket, Waiter>,
+    pub(crate) waiters: HashMap<QueueTicket, Waiter>,
 }
 
 /// The ledgers of all services with engines.
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! The same functions run under the daemon, in unit tests with a manual clock and in the model checker.
 
+pub mod admission_queue;
 pub mod attempt;
 pub mod backoff;
 pub mod clock;
@@ -39,7 +40,6 @@
 pub mod rest;
 pub mod retry;
 pub mod roles;
-pub mod room_queue;
 pub mod route;
 pub mod rules;
 pub mod sharers;
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -1,5 +1,7 @@
 //! The kernel's decisions, one by one, on a clock moved by hand.
 
+#[path = "kernel/admission_queue.rs"]
+mod admission_queue;
 #[path = "kernel/cold.rs"]
 mod cold;
 #[path = "kernel/config.rs"]
@@ -38,8 +40,6 @@
 mod rest;
 #[path = "kernel/retry.rs"]
 mod retry;
-#[path = "kernel/room_queue.rs"]
-mod room_queue;
 #[path = "kernel/routes.rs"]
 mod routes;
 #[path = "kernel/sharers.rs"]
