--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -315,7 +315,7 @@
     loop {
         tokio::time::sleep(SETTLE_EVERY).await;
         gateway.look_for_suspension();
-        let changes = gateway.fleet.lock().settle(gateway.now());
+        let changes = gateway.fleet.lock().expire_entries(gateway.now());
         follow::tell_changes(&changes);
         gateway.settle_halls();
         rounds = rounds.wrapping_add(1);
@@ -324,7 +324,10 @@
         }
         let known: std::collections::HashSet<String> = {
             let fleet = gateway.fleet.lock();
-            fleet.all().map(|(entry, _)| entry.id.clone()).collect()
+            fleet
+                .all_endpoints()
+                .map(|(entry, _)| entry.id.clone())
+                .collect()
         };
         gateway.look_at_sharers();
         gateway.cold_gate.lock().tidy(gateway.now());
--- a/src/gateway/broken_off.rs
+++ b/src/gateway/broken_off.rs
@@ -136,7 +136,7 @@
         let gateway = &self.gateway;
         let endpoint = &self.endpoint;
         // One that leaves, or whose hall is emptied, ends as it was asked to.
-        if !gateway.fleet.lock().takes_work(&endpoint.id) {
+        if !gateway.fleet.lock().can_accept_work(&endpoint.id) {
             return Presence::Unknown;
         }
         let now = gateway.now();
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::kernel::endpoint_word::EndpointWord;
+use crate::kernel::endpoint_signals::EndpointSignals;
 
 /// The head of a caller's request.
 #[derive(Debug, Clone, PartialEq)]
@@ -98,5 +98,5 @@
     /// How long the endpoint keeps the connection when idle.
     pub kept_for: Option<Duration>,
     /// What the endpoint says of itself beside.
-    pub word: EndpointWord,
+    pub word: EndpointSignals,
 }
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -22,7 +22,7 @@
 use crate::kernel::engine_ledger::{
     ColdLimit, EngineLedger, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
 };
-use crate::kernel::fleet::{EndpointEntry, Standing};
+use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::permits::LimitShare;
 use crate::peer::client::within;
 use crate::peer::convert;
@@ -49,7 +49,7 @@
         }
     }
     let fleet = gateway.fleet.lock();
-    let running = running.iter().filter(|id| fleet.takes_work(id));
+    let running = running.iter().filter(|id| fleet.can_accept_work(id));
     running.filter_map(|id| fleet.get(id).cloned()).collect()
 }
 
@@ -195,16 +195,18 @@
             return;
         }
         let limits = permits.limits();
-        let all = fleet.all().filter(|(entry, _)| entry.service == service);
-        let entry = |(entry, standing): (&EndpointEntry, Standing)| ListedEngine {
+        let all = fleet
+            .all_endpoints()
+            .filter(|(entry, _)| entry.service == service);
+        let entry = |(entry, standing): (&EndpointEntry, Availability)| ListedEngine {
             id: entry.id.clone(),
             hall: entry.hall.clone(),
             slots: shape.slots,
             memory_tokens: shape.memory_tokens,
-            leaving: standing == Standing::Leaving,
+            leaving: standing == Availability::Leaving,
             // What runs in a hall that is emptied ends where it runs. Moved as off engines that leave, it crowds the other halls: 0.024 of worth
             // (+-0.008) on a day on which two halls are emptied, 0.010 (+-0.005) on one with a loss of all, four paired seeds each.
-            closed: !fleet.takes_work(&entry.id),
+            closed: !fleet.can_accept_work(&entry.id),
             moves: shape.moves,
             cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_choice.rs
@@ -21,7 +21,7 @@
     let closed = gateway.closed();
     let mut candidates: Vec<EndpointEntry> = {
         let fleet = gateway.fleet.lock();
-        let ready = fleet.ready(&call.service);
+        let ready = fleet.ready_endpoints(&call.service);
         ready
             .filter(|entry| !tried.contains(&entry.id) && !closed.contains(&entry.id))
             .cloned()
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -49,10 +49,10 @@
             // Another endpoint answers, and does not say which start of it: its word is nobody's here.
             return;
         }
-        if head.word.leaving {
+        if head.word.draining {
             self.told_leaving(endpoint, "answer");
         }
-        if let Some(rest) = head.word.rest {
+        if let Some(rest) = head.word.cooldown {
             self.told_rest(endpoint, rest);
         }
         if head.word.limit != LimitWord::Unsaid || head.request_id.is_some() {
@@ -87,7 +87,7 @@
     /// An endpoint itself said that it leaves; `source` tells where.
     pub(crate) fn told_leaving(&self, endpoint: &str, source: &'static str) {
         let now = self.clock.now();
-        let change = self.fleet.lock().told_leaving(endpoint, now);
+        let change = self.fleet.lock().record_drain_notice(endpoint, now);
         if let Some(change) = change {
             info!("endpoint says that it leaves", kv: { endpoint, source });
             self.tell(&[change]);
@@ -105,7 +105,7 @@
     /// Takes what a member tells of endpoints that leave.
     pub(crate) fn take_leaving_endpoints(&self, news: &[u64]) {
         let now = self.now();
-        let changes = self.fleet.lock().take_leaving_news(news, now);
+        let changes = self.fleet.lock().apply_drain_notices(news, now);
         if !changes.is_empty() {
             self.words.tell(&changes);
         }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -12,7 +12,7 @@
 use super::site_store::{MemberEntry, SitePage, SiteRecord, SiteStore, StoreError, Subject};
 use crate::kernel::backoff::Backoff;
 use crate::kernel::content::ContentId;
-use crate::kernel::fleet::{FleetChange, ListNews};
+use crate::kernel::fleet::{FleetChange, ListUpdate};
 use crate::kernel::membership::{Incarnation, Listed, PeerStatus};
 use crate::kernel::position::Position;
 
@@ -163,12 +163,12 @@
         }
         return;
     }
-    let mut news = ListNews::default();
+    let mut news = ListUpdate::default();
     for record in page.records {
         take_list_record(gateway, &mut news, record);
     }
     note_regained(gateway);
-    let changes = gateway.fleet.lock().take_whole(news, gateway.now());
+    let changes = gateway.fleet.lock().apply_full_list(news, gateway.now());
     gateway.fleet_read();
     tell_changes(&changes);
 }
@@ -201,9 +201,9 @@
 }
 
 /// Adds a record of the list to the news; a later word on an endpoint takes the place of an earlier one.
-fn take_list_record(gateway: &Gateway, news: &mut ListNews, record: SiteRecord) {
+fn take_list_record(gateway: &Gateway, news: &mut ListUpdate, record: SiteRecord) {
     match record {
-        SiteRecord::Endpoint(entry) => news.add(entry),
+        SiteRecord::Endpoint(entry) => news.add_entry(entry),
         SiteRecord::EndpointGone(listed_id) => news.add_vanished(listed_id),
         SiteRecord::Unreadable { key, why } => {
             tell_unreadable("entry not read; its endpoint is not used", &key, &why);
@@ -216,7 +216,7 @@
 /// Entries that are missing right after an outage of the list may come back.
 fn note_regained(gateway: &Gateway) {
     if let Some(at) = gateway.store.regained_at(Subject::Endpoints) {
-        gateway.fleet.lock().regained(at);
+        gateway.fleet.lock().record_list_recovery(at);
     }
 }
 
@@ -231,12 +231,12 @@
 }
 
 fn take_list_records(gateway: &Gateway, records: Vec<SiteRecord>) {
-    let mut news = ListNews::default();
+    let mut news = ListUpdate::default();
     for record in records {
         take_list_record(gateway, &mut news, record);
     }
     note_regained(gateway);
-    let changes = gateway.fleet.lock().take(news, gateway.now());
+    let changes = gateway.fleet.lock().apply_update(news, gateway.now());
     tell_changes(&changes);
     gateway.ledgers.wake();
     let mut changes = changes.iter();
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -510,7 +510,7 @@
         why: why.to_owned(),
         dead: false,
     };
-    if !call.gateway.fleet.lock().takes_work(&engine.id) {
+    if !call.gateway.fleet.lock().can_accept_work(&engine.id) {
         return Err(unsent("the engine is leaving"));
     }
     if call.gateway.rests(&engine.id) {
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -12,14 +12,14 @@
     /// Takes one order of the operator.
     pub(crate) fn order_hall(&self, order: &HallOrder) {
         let now = self.now();
-        let changes = self.fleet.lock().order_hall(order, now);
+        let changes = self.fleet.lock().apply_hall_order(order, now);
         self.put_halls_in_force(&changes, order.next, "store");
     }
 
     /// Takes all halls that are evacuated, as they were told.
     pub(crate) fn take_halls(&self, told: &EvacuatedHalls, source: &str) {
         let now = self.now();
-        let changes = self.fleet.lock().take_halls(told, now);
+        let changes = self.fleet.lock().merge_evacuated_halls(told, now);
         self.put_halls_in_force(&changes, told.complete_to, source);
     }
 
@@ -28,7 +28,7 @@
         let now = self.now();
         let (changes, complete_to) = {
             let mut fleet = self.fleet.lock();
-            let changes = fleet.settle_halls(now);
+            let changes = fleet.advance_halls(now);
             (changes, fleet.evacuated_halls().complete_to)
         };
         self.put_halls_in_force(&changes, complete_to, "held until now");
@@ -61,6 +61,6 @@
             cold_start.map_or(Duration::ZERO, |cold_start| cold_start.lasts)
         };
         let now = self.now();
-        self.fleet.lock().expect_cold(hall, lasts, now);
+        self.fleet.lock().mark_hall_cold(hall, lasts, now);
     }
 }
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -47,7 +47,7 @@
     let first = rand::random_range(0..NEWS_SPREAD);
     let (evacuated, leaving_endpoints) = {
         let fleet = gateway.fleet.lock();
-        let leaving = fleet.leaving_news(first, gateway.now());
+        let leaving = fleet.drain_notices(first, gateway.now());
         (fleet.evacuated_halls().into(), leaving)
     };
     wire::Beat {
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -30,7 +30,10 @@
         let fleet = gateway.fleet.lock();
         let source = fleet.get(&order.source).cloned();
         let target = fleet.get(&order.target).cloned();
-        (source, target.filter(|target| fleet.takes_work(&target.id)))
+        (
+            source,
+            target.filter(|target| fleet.can_accept_work(&target.id)),
+        )
     };
     let (Some(source), Some(target)) = (source, target) else {
         return (MoveResult::NoRoom, "engine unknown or leaving".to_owned());
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -14,7 +14,7 @@
 use crate::kernel::clock::millis;
 use crate::kernel::content::ContentId;
 use crate::kernel::engine_ledger::EngineSummary;
-use crate::kernel::fleet::{EndpointEntry, Standing};
+use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::membership::PeerStatus;
 use crate::kernel::suspects::Verdict;
 
@@ -53,7 +53,7 @@
 #[derive(Serialize)]
 struct EndpointDump {
     entry: EndpointEntry,
-    standing: Standing,
+    standing: Availability,
     failures_share: f64,
     calls_in_flight: u32,
     /// Time for which it goes on to rest, as it asked this instance; 0 where it does not.
@@ -73,9 +73,9 @@
         });
         dumped.collect()
     };
-    let fleet: Vec<(EndpointEntry, Standing)> = {
+    let fleet: Vec<(EndpointEntry, Availability)> = {
         let fleet = gateway.fleet.lock();
-        let all = fleet.all();
+        let all = fleet.all_endpoints();
         all.map(|(entry, standing)| (entry.clone(), standing))
             .collect()
     };
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -327,7 +327,7 @@
     pub(crate) fn take_limits(&self, told: Vec<wire::EndpointLimit>) {
         let mut is_news = false;
         for limit in told {
-            let endpoint = self.fleet.lock().id_of(limit.endpoint);
+            let endpoint = self.fleet.lock().id_by_short_name(limit.endpoint);
             let Some(endpoint) = endpoint else { continue };
             let news = LimitNews {
                 endpoint,
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -335,7 +335,7 @@
         Err(none) => return Attempt::NotRun(none.to_string()),
     };
     // News of a departure may have come since the choice.
-    if !gateway.fleet.lock().takes_work(&endpoint.id) {
+    if !gateway.fleet.lock().can_accept_work(&endpoint.id) {
         return Attempt::NotRun("the endpoint is leaving".to_owned());
     }
     if gateway.rests(&endpoint.id) {
--- a/src/gateway/rests.rs
+++ b/src/gateway/rests.rs
@@ -55,8 +55,8 @@
     let now = gateway.now();
     let (all_have_left, ready) = {
         let fleet = gateway.fleet.lock();
-        let all_have_left = fleet.ready(&call.service).next().is_none();
-        let ready = fleet.ready(&call.service);
+        let all_have_left = fleet.ready_endpoints(&call.service).next().is_none();
+        let ready = fleet.ready_endpoints(&call.service);
         let ready = ready.filter(|endpoint| !is_excluded(endpoint));
         let ready: Vec<String> = ready.map(|endpoint| endpoint.id.clone()).collect();
         (all_have_left, ready)
@@ -76,7 +76,7 @@
 pub(super) fn has_another(call: &Call, tried: &HashSet<String>) -> bool {
     let closed = call.gateway.closed();
     let fleet = call.gateway.fleet.lock();
-    let mut ready = fleet.ready(&call.service);
+    let mut ready = fleet.ready_endpoints(&call.service);
     ready.any(|endpoint| !tried.contains(&endpoint.id) && !closed.contains(&endpoint.id))
 }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -70,7 +70,7 @@
     }
     let ready: Vec<EndpointEntry> = {
         let fleet = call.gateway.fleet.lock();
-        fleet.ready(&call.service).cloned().collect()
+        fleet.ready_endpoints(&call.service).cloned().collect()
     };
     let Some(sound) = sound_software(call, &ready).or_else(|| software_to_try(call, &ready)) else {
         return Admission::Refused;
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -105,7 +105,7 @@
     let resting = gateway.resting();
     let target = {
         let fleet = gateway.fleet.lock();
-        let others = fleet.ready(&call.service);
+        let others = fleet.ready_endpoints(&call.service);
         let others =
             others.filter(|engine| engine.id != source.id && !resting.contains(&engine.id));
         others.choose(&mut rand::rng()).cloned()
--- a/src/kernel/endpoint_entry.rs
+++ b/src/kernel/endpoint_entry.rs
@@ -1,38 +1,38 @@
-//! What the platform's list says of endpoints.
+//! Entries of the platform's endpoint list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What the list says of one start of an endpoint.
+/// Listed data of one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Names this start, and nothing that was known of an earlier one: ledgers, health, connections and orders are kept under it. Made by
-    /// [`start_id`] alone.
+    /// Identifies this incarnation only: ledgers, health, connections and orders are keyed by it,
+    /// and nothing known about an earlier incarnation applies. Always created by [`start_id`].
     pub id: String,
-    /// The name under which it is listed and by which it answers. It may be started again under the same one.
+    /// Name under which the endpoint is listed and answers. A restart may reuse it.
     pub listed_id: String,
-    /// When it started, in milliseconds since 1970 by its own clock; nothing where it does not tell.
+    /// Start time in milliseconds since 1970 by the endpoint's own clock; `None` if not reported.
     pub born_ms: Option<u64>,
     /// Service that it serves.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Hall in which it stands.
+    /// Hall where it is located.
     pub hall: String,
-    /// Calls that it works on at once.
+    /// Number of calls that it processes concurrently.
     pub slots: u32,
-    /// Whether it said that it is leaving.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Version of its software; empty where it does not tell.
+    /// Version of its software; empty if not reported.
     #[serde(default)]
     pub software: String,
-    /// How much longer it said it would be slow from its start.
+    /// Remaining warm-up time that it announced at its start.
     pub cold_left: Duration,
 }
 
-/// Names one start of an endpoint: by what it is listed under, and by the time of the start where that is told.
+/// Returns the id of one incarnation of an endpoint: its listed id, and its start time if reported.
 #[must_use]
 pub fn start_id(listed_id: &str, born_ms: Option<u64>) -> String {
     match born_ms {
@@ -41,38 +41,40 @@
     }
 }
 
-/// Records of the list that came together.
+/// Records of the endpoint list that were read together.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ListNews {
-    /// Entries.
+pub struct ListUpdate {
+    /// Entries that are new or changed.
     pub entries: Vec<EndpointEntry>,
-    /// Listed ids whose entry is gone.
+    /// Listed ids whose entry has vanished.
     pub vanished: Vec<String>,
     /// Listed ids whose newest entry cannot be read.
     pub unreadable: Vec<String>,
 }
 
-impl ListNews {
-    /// An entry has come: what was said before of its absence no longer holds.
-    pub fn add(&mut self, entry: EndpointEntry) {
-        self.forget_absence(&entry.listed_id);
+impl ListUpdate {
+    /// Adds an entry, which overrides earlier records that its listed id vanished or was
+    /// unreadable.
+    pub fn add_entry(&mut self, entry: EndpointEntry) {
+        self.clear_absence(&entry.listed_id);
         self.entries.push(entry);
     }
 
-    /// The entry under a listed id is gone: what it said before no longer matters.
+    /// Records that the entry of a listed id has vanished, which overrides its earlier entries.
     pub fn add_vanished(&mut self, listed_id: String) {
-        self.forget_absence(&listed_id);
+        self.clear_absence(&listed_id);
         self.entries.retain(|entry| entry.listed_id != listed_id);
         self.vanished.push(listed_id);
     }
 
-    /// The newest entry under a listed id cannot be read. What it said before stays said: that it is leaving is final.
+    /// Records that the newest entry of a listed id cannot be read. Earlier entries are kept,
+    /// because an announcement that the endpoint is leaving is final.
     pub fn add_unreadable(&mut self, listed_id: String) {
-        self.forget_absence(&listed_id);
+        self.clear_absence(&listed_id);
         self.unreadable.push(listed_id);
     }
 
-    fn forget_absence(&mut self, listed_id: &str) {
+    fn clear_absence(&mut self, listed_id: &str) {
         self.vanished.retain(|known| known != listed_id);
         self.unreadable.retain(|known| known != listed_id);
     }
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -11,7 +11,8 @@
 pub mod content;
 pub mod departures;
 pub mod endpoint_entry;
-pub mod endpoint_word;
+pub mod endpoint_signals;
+
 pub mod engine_ledger;
 mod engine_moves;
 mod engine_run;
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -15,7 +15,7 @@
 
 use super::{names, unknown};
 use crate::gateway::call::{AnswerHead, SendHead};
-use crate::kernel::endpoint_word::EndpointWord;
+use crate::kernel::endpoint_signals::EndpointSignals;
 use crate::kernel::limit::LimitWord;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
@@ -132,10 +132,10 @@
 }
 
 /// Reads what an endpoint says of itself, whatever it answers.
-fn decode_word(status: StatusCode, headers: &HeaderMap) -> EndpointWord {
-    EndpointWord {
-        leaving: says_leaving(headers),
-        rest: rest_asked(status, headers),
+fn decode_word(status: StatusCode, headers: &HeaderMap) -> EndpointSignals {
+    EndpointSignals {
+        draining: says_leaving(headers),
+        cooldown: rest_asked(status, headers),
         limit: limit_named(headers),
     }
 }
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use http::Response;
-use larkwick::kernel::endpoint_word::EndpointWord;
+use larkwick::kernel::endpoint_signals::EndpointSignals;
 use larkwick::kernel::limit::LimitWord;
 use larkwick::platform::engine;
 use larkwick::standin::site::server::{Server, ServerFault};
@@ -174,7 +174,7 @@
 }
 
 /// What is read of the head of an answer with these headers.
-fn word_of(status: u16, headers: &[(&str, &str)]) -> EndpointWord {
+fn word_of(status: u16, headers: &[(&str, &str)]) -> EndpointSignals {
     let answer = Response::builder().status(status);
     let answer = headers
         .iter()
@@ -187,19 +187,22 @@
 fn decode_answer_leaving_whatever_the_answer() {
     for status in [200, 404, 421, 500, 503, 504] {
         let word = word_of(status, &[("server-leaving", "1")]);
-        assert!(word.leaving, "{status}");
+        assert!(word.draining, "{status}");
     }
     let said_twice = [("server-leaving", "0"), ("server-leaving", " 1 ")];
-    assert!(word_of(200, &said_twice).leaving);
+    assert!(word_of(200, &said_twice).draining);
     for text in ["0", "", "yes", "\u{e9}"] {
-        assert!(!word_of(200, &[("server-leaving", text)]).leaving, "{text}");
+        assert!(
+            !word_of(200, &[("server-leaving", text)]).draining,
+            "{text}"
+        );
     }
-    assert!(!word_of(200, &[]).leaving);
+    assert!(!word_of(200, &[]).draining);
 }
 
 #[test]
 fn decode_answer_rest_of_a_refusal_alone() {
-    let rest_of = |status, text| word_of(status, &[("retry-after", text)]).rest;
+    let rest_of = |status, text| word_of(status, &[("retry-after", text)]).cooldown;
     let seconds = |seconds| Some(Duration::from_secs_f64(seconds));
     assert_eq!(rest_of(503, "3"), seconds(3.0));
     assert_eq!(rest_of(503, " 0.25 "), seconds(0.25));
@@ -212,7 +215,7 @@
         assert_eq!(rest_of(status, "3"), None, "{status} is for the caller");
     }
     let said_twice = [("retry-after", "2"), ("retry-after", "5")];
-    assert_eq!(word_of(503, &said_twice).rest, seconds(5.0));
+    assert_eq!(word_of(503, &said_twice).cooldown, seconds(5.0));
 }
 
 #[test]
