--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use larkwick::kernel::cold::{ColdGate, ColdStart};
+use larkwick::kernel::cold_start::{ColdRateLimiter, ColdStart};
 use larkwick::kernel::membership::rendezvous;
 use larkwick::kernel::permits::{Answer, AskedPermits, LimitShare, Permits, SumShare};
 use rand::rngs::SmallRng;
@@ -70,7 +70,7 @@
     names: Vec<String>,
     endpoints: Vec<String>,
     givers: Vec<usize>,
-    cold_gates: Vec<ColdGate>,
+    cold_gates: Vec<ColdRateLimiter>,
     cold_shares: HashMap<(usize, usize), u32>,
     /// What each instance gives, or has for itself.
     permits: Vec<Permits>,
@@ -90,7 +90,9 @@
         };
         Self {
             givers: endpoints.iter().take(site.limited).map(giver).collect(),
-            cold_gates: (0..site.instances).map(|_| ColdGate::default()).collect(),
+            cold_gates: (0..site.instances)
+                .map(|_| ColdRateLimiter::default())
+                .collect(),
             cold_shares: HashMap::new(),
             permits: (0..site.instances).map(|_| Permits::default()).collect(),
             asked: (0..site.instances)
@@ -157,22 +159,22 @@
     fn may_send_by_name(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
         let names = &self.names;
         let start = ColdStart {
-            lasts: LASTS,
-            bears_per_s: self.site.limit_per_s,
+            duration: LASTS,
+            sustainable_per_s: self.site.limit_per_s,
         };
         let share = self.cold_shares.entry((instance, endpoint));
         let share = *share.or_insert_with(|| {
             let others = names.iter().enumerate();
             let others = others.filter(|(number, _)| *number != instance);
             let others = others.map(|(_, name)| name.as_str());
-            start.share_by_name(&names[instance], others, &self.endpoints[endpoint])
+            start.share_per_s_by_hash(&names[instance], others, &self.endpoints[endpoint])
         });
         let gate = &mut self.cold_gates[instance];
-        let admits = gate.admits(&self.endpoints[endpoint], share, now);
-        if admits {
-            gate.note(&self.endpoints[endpoint], now);
+        let can_send = gate.can_send(&self.endpoints[endpoint], share, now);
+        if can_send {
+            gate.record_sent(&self.endpoints[endpoint], now);
         }
-        admits
+        can_send
     }
 
     fn may_send_even_part(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -21,7 +21,7 @@
 use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::object::{ClientAccount, Model};
-use crate::kernel::stream::{EventId, GenerationId, TokenCursor, TokenStep};
+use crate::kernel::stream::{EventId, GenerationId, TokenAction, TokenCursor};
 use crate::settings::ms;
 use crate::standin::engine_core::prompt_tokens;
 
@@ -350,12 +350,12 @@
         match event {
             EngineEvent::Started(_) => None,
             EngineEvent::Token { index, text } => match position.accept(index) {
-                TokenStep::Duplicate => None,
-                TokenStep::Gap => {
+                TokenAction::Duplicate => None,
+                TokenAction::Gap => {
                     metrics::counter!("larkwick_token_gaps_total").increment(1);
                     Some(Read::Broken)
                 }
-                TokenStep::Deliver => self.deliver(source, index, text).await.map(Read::End),
+                TokenAction::Deliver => self.deliver(source, index, text).await.map(Read::End),
             },
             EngineEvent::Done { reason, tokens } => {
                 if position.next_index() != tokens {
--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -12,8 +12,8 @@
 use super::owner::{PlacedOn, capacity, groups_of_hall, reserve_timeout};
 use super::reservations::Reservation;
 use crate::error::{Error, ErrorDetail, ErrorKind, Result};
-use crate::kernel::estimate::{Spread, Survival};
 use crate::kernel::group::ReserveRequest;
+use crate::kernel::length_estimates::{Survival, TokenStats};
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
 use crate::kernel::policy::{self, Candidate, Demand, InFlight, Scope, approximate};
 use crate::kernel::rules::{Allowed, Catalog, Work};
@@ -134,7 +134,7 @@
             let demand = Demand {
                 prompt_tokens: wanted.prompt_tokens,
                 max_tokens: wanted.max_tokens,
-                residual: Spread::default(),
+                residual: TokenStats::default(),
                 survival: Survival::default(),
             };
             if let Some(index) = policy.choose(&candidates, &demand, &mut rand::rng()) {
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -330,7 +330,7 @@
                 .collect()
         };
         gateway.look_at_sharers();
-        gateway.cold_gate.lock().tidy(gateway.now());
+        gateway.cold_gate.lock().prune(gateway.now());
         let now = gateway.now();
         let is_known = |endpoint: &str| known.contains(endpoint);
         gateway.words.rests.lock().tidy(is_known, now);
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -18,7 +18,7 @@
 use super::runs::NotTaken;
 use crate::kernel::admission_queue::{Admission, AdmissionRequest};
 use crate::kernel::clock::millis;
-use crate::kernel::cold::Sender;
+use crate::kernel::cold_start::Sender;
 use crate::kernel::engine_ledger::{
     ColdLimit, EngineLedger, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
 };
@@ -210,7 +210,7 @@
             moves: shape.moves,
             cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
-                share_per_s: cold_start.share(sender),
+                share_per_s: cold_start.share_per_s(sender),
             }),
             limit: limits
                 .get(&entry.id)
@@ -231,7 +231,7 @@
     if owner_address(gateway, service).is_none() {
         Sender::Owner
     } else {
-        Sender::Alone {
+        Sender::Standalone {
             instances: gateway.instances(),
         }
     }
--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_choice.rs
@@ -32,12 +32,12 @@
         let gate = gateway.cold_gate.lock();
         candidates.retain(|entry| {
             let share = cold.get(&entry.id);
-            share.is_none_or(|share| gate.admits(&entry.id, *share, now))
+            share.is_none_or(|share| gate.can_send(&entry.id, *share, now))
         });
     }
     let chosen = draw(call, candidates, before_any, now)?;
     if cold.contains_key(&chosen.id) {
-        gateway.cold_gate.lock().note(&chosen.id, now);
+        gateway.cold_gate.lock().record_sent(&chosen.id, now);
     }
     Some(chosen)
 }
@@ -66,7 +66,7 @@
     let own_name = &gateway.incarnation.name;
     let shares = cold.into_iter().map(|entry| {
         let others = others.iter().copied();
-        let share = cold_start.share_by_name(own_name, others, &entry.id);
+        let share = cold_start.share_per_s_by_hash(own_name, others, &entry.id);
         (entry.id.clone(), share)
     });
     shares.collect()
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -58,7 +58,7 @@
         let lasts = |service: &str| {
             let service = table.service(service);
             let cold_start = service.and_then(|service| service.cold_start);
-            cold_start.map_or(Duration::ZERO, |cold_start| cold_start.lasts)
+            cold_start.map_or(Duration::ZERO, |cold_start| cold_start.duration)
         };
         let now = self.now();
         self.fleet.lock().mark_hall_cold(hall, lasts, now);
--- a/src/gateway/ledgers.rs
+++ b/src/gateway/ledgers.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::kernel::admission_queue::{AdmissionQueue, QueueTicket};
-use crate::kernel::cold::Sender;
+use crate::kernel::cold_start::Sender;
 use crate::kernel::engine_ledger::{EngineLedger, EngineSummary};
 use crate::kernel::owner_contact::OwnerContact;
 use crate::kernel::permits::SumShare;
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -29,7 +29,7 @@
 use super::waits::Suspensions;
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::Clock;
-use crate::kernel::cold::ColdGate;
+use crate::kernel::cold_start::ColdRateLimiter;
 use crate::kernel::fleet::Fleet;
 use crate::kernel::health::EndpointHealth;
 use crate::kernel::membership::{Incarnation, Members, PeerStatus};
@@ -145,7 +145,7 @@
     pub(crate) entry_lost: Notify,
     pub(crate) health: Mutex<EndpointHealth>,
     /// What plain calls from here have sent to cold endpoints of late.
-    pub(crate) cold_gate: Mutex<ColdGate>,
+    pub(crate) cold_gate: Mutex<ColdRateLimiter>,
     /// By service.
     retries: Mutex<HashMap<String, ServiceRepeats>>,
     started_at: Duration,
--- a/src/kernel/engine_ledger.rs
+++ b/src/kernel/engine_ledger.rs
@@ -11,7 +11,7 @@
 
 use serde::Serialize;
 
-use super::cold::ColdGate;
+use super::cold_start::ColdRateLimiter;
 use super::membership::rendezvous_share;
 use super::permits::{Answer, LimitShare, Permits};
 
@@ -129,7 +129,7 @@
     /// Generations that are being moved.
     pub(super) moving: BTreeSet<String>,
     /// Requests recently sent to cold engines.
-    pub(super) cold_gate: ColdGate,
+    pub(super) cold_rate_limiter: ColdRateLimiter,
     /// Permits granted for engines that announce a rate limit.
     permits: Permits,
     /// Engines in cooldown for any entry instance: the union of all `cooling_down` sets.
@@ -296,8 +296,10 @@
         now: Duration,
     ) -> bool {
         let cold = engine.cold.filter(|cold| now < cold.until);
-        let is_within_cold_limit =
-            cold.is_none_or(|cold| self.cold_gate.admits(&engine.id, cold.share_per_s, now));
+        let is_within_cold_limit = cold.is_none_or(|cold| {
+            self.cold_rate_limiter
+                .can_send(&engine.id, cold.share_per_s, now)
+        });
         let has_permit = engine.limit.is_none_or(|limit| {
             let next_at = self.permits.next_at(&engine.id, entry, limit, now);
             next_at <= now
@@ -312,7 +314,7 @@
         let listed = listed.and_then(|engine| engine.listed.as_ref());
         let Some(listed) = listed else { return false };
         if listed.cold.is_some_and(|cold| now < cold.until) {
-            self.cold_gate.note(engine, now);
+            self.cold_rate_limiter.record_sent(engine, now);
         }
         let limit = listed.limit;
         limit.is_some_and(|limit| self.request_permit(engine, entry, limit, now) == Answer::Granted)
@@ -519,7 +521,7 @@
         for name in old_grants.iter().chain(&stale) {
             self.remove(name);
         }
-        self.cold_gate.tidy(now);
+        self.cold_rate_limiter.prune(now);
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
             let at = entry.reported_at;
--- a/src/kernel/event_split.rs
+++ b/src/kernel/event_split.rs
@@ -1,42 +1,43 @@
-//! Splits the bytes of an event stream into whole events, so that a broken connection never passes on half of one.
+//! Splits the bytes of an event stream into complete events, so that a partial event is never
+//! forwarded when a connection breaks.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is waited for; far above what engines send.
+/// Maximum size of an event; far above what engines send.
 const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// One event as it came, its closing blank line included.
+/// One event as received, including its terminating blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// The bytes, unchanged.
     pub bytes: Bytes,
-    /// Its id, where it has one.
+    /// Value of its `id` field, if present.
     pub id: Option<String>,
 }
 
-/// An event that is larger than any engine sends.
+/// An event exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event of the stream exceeds {EVENT_MAX_BYTES} bytes")]
 pub struct EventTooLarge;
 
-/// The part of a stream that has come and is not a whole event yet.
+/// Splitter that buffers the incomplete event at the end of the received bytes.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes and gives the events that are whole now.
+    /// Appends bytes and returns the events that are now complete.
     ///
     /// # Errors
-    /// What is pending cannot be an event.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<WholeEvent>, EventTooLarge> {
+    /// Returns [`EventTooLarge`] if the incomplete event exceeds the maximum size.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<CompleteEvent>, EventTooLarge> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
         while let Some(end) = event_end(&self.pending) {
             let bytes = self.pending.split_to(end).freeze();
             let id = event_id(&bytes);
-            events.push(WholeEvent { bytes, id });
+            events.push(CompleteEvent { bytes, id });
         }
         if self.pending.len() > EVENT_MAX_BYTES {
             return Err(EventTooLarge);
@@ -44,14 +45,14 @@
         Ok(events)
     }
 
-    /// Whether the stream stands between two events.
+    /// Returns whether no incomplete event is buffered.
     #[must_use]
     pub fn is_between_events(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// Where the first event ends: after a blank line.
+/// Returns the end of the first event, just after its blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(offset) = bytes[at..].iter().position(|byte| *byte == b'\n') {
@@ -68,7 +69,7 @@
     None
 }
 
-/// The event's id field.
+/// Returns the value of the event's `id` field.
 fn event_id(bytes: &[u8]) -> Option<String> {
     let lines = bytes.split(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use super::estimate::Estimates;
 use super::fairness::{GrantPace, Usage};
+use super::length_estimates::LengthEstimates;
 use super::policy::{
     Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, approximate,
 };
@@ -171,7 +171,7 @@
     policy: Box<dyn RoutingPolicy>,
     limits: GroupLimits,
     /// Output lengths seen in this group.
-    estimates: Estimates,
+    estimates: LengthEstimates,
     places: BTreeMap<String, Place>,
     streams: HashMap<Uuid, Stream>,
     waiting: Vec<Waiting>,
@@ -212,7 +212,7 @@
         Self {
             policy,
             limits,
-            estimates: Estimates::default(),
+            estimates: LengthEstimates::default(),
             places: BTreeMap::new(),
             streams: HashMap::new(),
             waiting: Vec::new(),
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use super::estimate::{HORIZONS, HORIZONS_TOKENS, Spread, Survival};
+use super::length_estimates::{HORIZONS, HORIZONS_TOKENS, Survival, TokenStats};
 
 /// A model version that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     /// Declared maximum, in tokens.
     pub max_tokens: u32,
     /// What is expected to come.
-    pub residual: Spread,
+    pub residual: TokenStats,
     /// Probability that it still runs, by horizon.
     pub survival: Survival,
 }
@@ -130,7 +130,7 @@
     /// Declared maximum of the output, in tokens.
     pub max_tokens: u32,
     /// What the output is expected to be.
-    pub residual: Spread,
+    pub residual: TokenStats,
     /// Probability that it still runs, by horizon.
     pub survival: Survival,
 }
--- a/src/kernel/route.rs
+++ b/src/kernel/route.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::cold::ColdStart;
+use super::cold_start::ColdStart;
 use crate::error::{Error, ErrorKind, Result};
 
 /// Rank of a call where neither its route nor its client account sets one.
--- a/src/kernel/stream.rs
+++ b/src/kernel/stream.rs
@@ -1,4 +1,5 @@
-//! The order of a stream's tokens: each index once, none skipped, all from one generation.
+//! Ordering of a stream's tokens: each index is delivered once, none is skipped, and all come from
+//! one generation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,30 +11,30 @@
 const GENERATION_SEPARATOR: char = '~';
 const INDEX_SEPARATOR: char = ':';
 
-/// Names one generation on one incarnation of one endpoint, written `endpoint~incarnation~number`.
+/// Id of a generation on one incarnation of an endpoint, written `endpoint~incarnation~number`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GenerationId {
     /// Endpoint that decodes it.
     pub endpoint: String,
     /// Incarnation of the endpoint.
     pub incarnation: Uuid,
-    /// The endpoint's own number.
+    /// Number assigned by the endpoint.
     pub number: u64,
 }
 
 /// Id of a server-sent event, written `generation:index`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct EventId {
-    /// Which generation.
+    /// Generation that the event belongs to.
     pub generation: GenerationId,
     /// Index of the token, from 0.
     pub index: u32,
 }
 
-/// The text is not an event id.
+/// The text is not a valid event id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not an event id; send the id of the last event as it came")]
-pub struct NotAnEventId;
+pub struct InvalidEventId;
 
 impl fmt::Display for GenerationId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -56,69 +57,69 @@
 }
 
 impl FromStr for EventId {
-    type Err = NotAnEventId;
+    type Err = InvalidEventId;
 
-    fn from_str(text: &str) -> Result<Self, NotAnEventId> {
-        let (generation, index) = text.rsplit_once(INDEX_SEPARATOR).ok_or(NotAnEventId)?;
+    fn from_str(text: &str) -> Result<Self, InvalidEventId> {
+        let (generation, index) = text.rsplit_once(INDEX_SEPARATOR).ok_or(InvalidEventId)?;
         let mut parts = generation.split(GENERATION_SEPARATOR);
         let (Some(endpoint), Some(incarnation), Some(number), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(NotAnEventId);
+            return Err(InvalidEventId);
         };
         if !is_name(endpoint) {
-            return Err(NotAnEventId);
+            return Err(InvalidEventId);
         }
         Ok(Self {
             generation: GenerationId {
                 endpoint: endpoint.to_owned(),
-                incarnation: incarnation.parse().map_err(|_| NotAnEventId)?,
-                number: number.parse().map_err(|_| NotAnEventId)?,
+                incarnation: incarnation.parse().map_err(|_| InvalidEventId)?,
+                number: number.parse().map_err(|_| InvalidEventId)?,
             },
-            index: index.parse().map_err(|_| NotAnEventId)?,
+            index: index.parse().map_err(|_| InvalidEventId)?,
         })
     }
 }
 
-/// What to do with a token that arrived.
+/// What to do with a received token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TokenStep {
-    /// The next one: pass it on.
+pub enum TokenAction {
+    /// It is the next token: deliver it.
     Deliver,
-    /// Seen already: drop it.
+    /// It has been delivered before: drop it.
     Duplicate,
-    /// Earlier ones are missing: resume from the cursor, pass nothing on.
+    /// Earlier tokens are missing: resume from the cursor without delivering it.
     Gap,
 }
 
-/// Follows the indices of one generation.
+/// Tracks the token indices of one generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenCursor {
-    /// Index of the next token to pass on. Every lower one has been passed on exactly once.
+    /// Index of the next token to deliver. Every lower index has been delivered exactly once.
     next_index: u32,
 }
 
 impl TokenCursor {
-    /// A cursor that expects this index next.
+    /// Creates a cursor that expects `next_index` next.
     #[must_use]
     pub const fn starting_at(next_index: u32) -> Self {
         Self { next_index }
     }
 
-    /// The next index.
+    /// Returns the next index.
     #[must_use]
     pub const fn next_index(self) -> u32 {
         self.next_index
     }
 
-    /// Takes the index of a token that arrived.
-    pub fn accept(&mut self, index: u32) -> TokenStep {
+    /// Processes the index of a received token.
+    pub fn accept(&mut self, index: u32) -> TokenAction {
         match index.cmp(&self.next_index) {
-            std::cmp::Ordering::Less => TokenStep::Duplicate,
-            std::cmp::Ordering::Greater => TokenStep::Gap,
+            std::cmp::Ordering::Less => TokenAction::Duplicate,
+            std::cmp::Ordering::Greater => TokenAction::Gap,
             std::cmp::Ordering::Equal => {
                 self.next_index += 1;
-                TokenStep::Deliver
+                TokenAction::Deliver
             }
         }
     }
--- a/src/platform/operator_config.rs
+++ b/src/platform/operator_config.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use super::unknown;
-use crate::kernel::cold::ColdStart;
+use crate::kernel::cold_start::ColdStart;
 use crate::kernel::route::{
     CallKind, CallLimits, DEFAULT_PRIORITY, EngineShape, KeyedAccount, Route, RouteConfig, Service,
     WeightedService,
@@ -212,8 +212,8 @@
     });
     let bears_per_s = wire.cold_per_s.filter(|per_s| *per_s > 0.0);
     let cold_start = bears_per_s.map(|bears_per_s| ColdStart {
-        lasts: seconds(wire.cold_start_s.unwrap_or_default()),
-        bears_per_s,
+        duration: seconds(wire.cold_start_s.unwrap_or_default()),
+        sustainable_per_s: bears_per_s,
     });
     let service = Service {
         connections_max: wire.max_conns.unwrap_or(u32::MAX),
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -2,8 +2,8 @@
 
 #[path = "kernel/admission_queue.rs"]
 mod admission_queue;
-#[path = "kernel/cold.rs"]
-mod cold;
+#[path = "kernel/cold_start.rs"]
+mod cold_start;
 #[path = "kernel/config.rs"]
 mod config;
 #[path = "kernel/engine_ledger.rs"]
@@ -18,8 +18,8 @@
 mod group;
 #[path = "kernel/hall.rs"]
 mod hall;
-#[path = "kernel/lengths.rs"]
-mod lengths;
+#[path = "kernel/length_estimates.rs"]
+mod length_estimates;
 #[path = "kernel/limit.rs"]
 mod limit;
 #[path = "kernel/losses.rs"]
