--- a/src/gateway/aborted_requests.rs
+++ b/src/gateway/aborted_requests.rs
@@ -151,7 +151,7 @@
         let gateway = &self.gateway;
         let endpoint = &self.endpoint;
         // The exit of an endpoint that drains, or whose hall is evacuated, is expected.
-        if !gateway.fleet.lock().takes_work(&endpoint.id) {
+        if !gateway.fleet.lock().can_accept_work(&endpoint.id) {
             return Presence::Unknown;
         }
         let now = gateway.now();
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -16,14 +16,14 @@
 use super::node::Gateway;
 use super::ownership::{acts_as_owner, note_owner, owner_address, owner_to_ask};
 use super::runs::NotTaken;
+use crate::kernel::admission_queue::{Admission, AdmissionRequest};
 use crate::kernel::clock::millis;
-use crate::kernel::cold::Sender;
+use crate::kernel::cold_start::Sender;
 use crate::kernel::engine_ledger::{
-    ColdEngine, EngineEntry, EngineLedger, MoveOrder, MoveResult, ReportedRun, RunDemand,
+    ColdLimit, EngineLedger, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
 };
-use crate::kernel::fleet::{EndpointEntry, Standing};
+use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::permits::LimitShare;
-use crate::kernel::room_queue::{Answer, RoomRequest};
 use crate::peer::client::within;
 use crate::peer::convert;
 use crate::peer::generated as wire;
@@ -49,7 +49,7 @@
         }
     }
     let fleet = gateway.fleet.lock();
-    let running = running.iter().filter(|id| fleet.takes_work(id));
+    let running = running.iter().filter(|id| fleet.can_accept_work(id));
     running.filter_map(|id| fleet.get(id).cloned()).collect()
 }
 
@@ -130,11 +130,11 @@
 ) -> Option<Placed> {
     let shard = gateway.ledgers.shard(service);
     let now = gateway.now();
-    let request = RoomRequest {
+    let request = AdmissionRequest {
         demand: demand.clone(),
         entry: entry.to_owned(),
         excluded: excluded.to_vec(),
-        until: now + wait,
+        deadline: now + wait,
     };
     let waiting = {
         let mut shard = shard.lock();
@@ -145,10 +145,10 @@
             waiters,
             ..
         } = &mut *shard;
-        match queue.ask(ledger, request, now) {
-            Answer::Granted(engine) => return Some(placed(ledger, engine, now)),
-            Answer::Refused => return None,
-            Answer::Waits(ticket) => {
+        match queue.request_admission(ledger, request, now) {
+            Admission::Granted(engine) => return Some(placed(ledger, engine, now)),
+            Admission::Refused => return None,
+            Admission::Queued(ticket) => {
                 let (answer, waiting) = oneshot::channel();
                 let run = demand.run.clone();
                 waiters.insert(ticket, Waiter { run, answer });
@@ -195,20 +195,22 @@
             return;
         }
         let limits = permits.limits();
-        let all = fleet.all().filter(|(entry, _)| entry.service == service);
-        let entry = |(entry, standing): (&EndpointEntry, Standing)| EngineEntry {
+        let all = fleet
+            .all_endpoints()
+            .filter(|(entry, _)| entry.service == service);
+        let entry = |(entry, standing): (&EndpointEntry, Availability)| ListedEngine {
             id: entry.id.clone(),
             hall: entry.hall.clone(),
             slots: shape.slots,
             memory_tokens: shape.memory_tokens,
-            leaving: standing == Standing::Leaving,
+            leaving: standing == Availability::Leaving,
             // What runs in a hall that is emptied ends where it runs. Moved as off engines that leave, it crowds the other halls: 0.024 of worth
             // (+-0.008) on a day on which two halls are emptied, 0.010 (+-0.005) on one with a loss of all, four paired seeds each.
-            closed: !fleet.takes_work(&entry.id),
+            closed: !fleet.can_accept_work(&entry.id),
             moves: shape.moves,
-            cold: cold_start.map(|cold_start| ColdEngine {
+            cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
-                share_per_s: cold_start.share(sender),
+                share_per_s: cold_start.share_per_s(sender),
             }),
             limit: limits
                 .get(&entry.id)
@@ -221,7 +223,7 @@
         all.map(entry).collect()
     };
     shard.ledger.set_engines(entries);
-    shard.ledger.settle_permits(gateway.now());
+    shard.ledger.sync_permits(gateway.now());
 }
 
 /// As whom this instance sends to the cold engines of a service. Who is cut off from the owner shares with all others that may be.
@@ -229,7 +231,7 @@
     if owner_address(gateway, service).is_none() {
         Sender::Owner
     } else {
-        Sender::Alone {
+        Sender::Standalone {
             instances: gateway.instances(),
         }
     }
@@ -247,14 +249,16 @@
     let shard = gateway.ledgers.shard(service);
     let mut shard = shard.lock();
     for endpoint in &not_taken.refused {
-        shard.ledger.refused(endpoint, now);
+        shard.ledger.record_refusal(endpoint, now);
     }
     for endpoint in &not_taken.dead {
-        shard.ledger.found_dead(endpoint, now);
+        shard.ledger.record_unreachable(endpoint, now);
     }
-    shard.ledger.take_report(entry, runs, now);
-    shard.ledger.rest_for(entry, not_taken.resting.clone());
-    let wanted = !shard.waiters.is_empty() || shard.ledger.has_leaving_runs();
+    shard.ledger.apply_report(entry, runs, now);
+    shard
+        .ledger
+        .set_cooling_down(entry, not_taken.resting.clone());
+    let wanted = !shard.waiters.is_empty() || shard.ledger.has_runs_on_leaving_engines();
     drop(shard);
     if wanted {
         gateway.ledgers.wake();
@@ -295,7 +299,8 @@
         } else {
             Vec::new()
         };
-        let busy = !shard.waiters.is_empty() || (owned && shard.ledger.has_leaving_runs());
+        let busy =
+            !shard.waiters.is_empty() || (owned && shard.ledger.has_runs_on_leaving_engines());
         (orders, busy)
     };
     for order in orders {
@@ -320,11 +325,11 @@
     waiters.retain(|ticket, waiter| {
         let has_gone = waiter.answer.is_closed();
         if has_gone {
-            queue.forget(*ticket);
+            queue.cancel(*ticket);
         }
         !has_gone
     });
-    for settled in queue.settle(ledger, now) {
+    for settled in queue.admit_waiting(ledger, now) {
         let Some(waiter) = waiters.remove(&settled.ticket) else {
             continue;
         };
@@ -359,7 +364,7 @@
     }
     metrics::counter!("larkwick_moves_total", "result" => format!("{result:?}")).increment(1);
     let shard = gateway.ledgers.shard(&service);
-    shard.lock().ledger.move_ended(&order, result, now);
+    shard.lock().ledger.record_move_result(&order, result, now);
     gateway.ledgers.wake();
 }
 
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -75,7 +75,7 @@
     }
     let ready: Vec<EndpointEntry> = {
         let fleet = call.gateway.fleet.lock();
-        fleet.ready(&call.service).cloned().collect()
+        fleet.ready_endpoints(&call.service).cloned().collect()
     };
     let Some(proven) = proven_software(call, &ready).or_else(|| begin_software_trial(call, &ready))
     else {
--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -62,8 +62,8 @@
     let now = gateway.now();
     let (no_endpoint_ready, ready) = {
         let fleet = gateway.fleet.lock();
-        let no_endpoint_ready = fleet.ready(&call.service).next().is_none();
-        let ready = fleet.ready(&call.service);
+        let no_endpoint_ready = fleet.ready_endpoints(&call.service).next().is_none();
+        let ready = fleet.ready_endpoints(&call.service);
         let ready = ready.filter(|endpoint| !is_excluded(endpoint));
         let ready: Vec<String> = ready.map(|endpoint| endpoint.id.clone()).collect();
         (no_endpoint_ready, ready)
@@ -83,7 +83,7 @@
 pub(super) fn has_untried_endpoint(call: &Call, tried: &HashSet<String>) -> bool {
     let unavailable = call.gateway.unavailable_endpoints();
     let fleet = call.gateway.fleet.lock();
-    let mut ready = fleet.ready(&call.service);
+    let mut ready = fleet.ready_endpoints(&call.service);
     ready.any(|endpoint| !tried.contains(&endpoint.id) && !unavailable.contains(&endpoint.id))
 }
 
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -24,7 +24,7 @@
     let unavailable = gateway.unavailable_endpoints();
     let mut candidates: Vec<EndpointEntry> = {
         let fleet = gateway.fleet.lock();
-        let ready = fleet.ready(&call.service);
+        let ready = fleet.ready_endpoints(&call.service);
         ready
             .filter(|entry| !tried.contains(&entry.id) && !unavailable.contains(&entry.id))
             .cloned()
@@ -35,12 +35,12 @@
         let gate = gateway.cold_gate.lock();
         candidates.retain(|entry| {
             let share = cold.get(&entry.id);
-            share.is_none_or(|share| gate.admits(&entry.id, *share, now))
+            share.is_none_or(|share| gate.can_send(&entry.id, *share, now))
         });
     }
     let selected = draw_weighted(call, candidates, initial_response_time, now)?;
     if cold.contains_key(&selected.id) {
-        gateway.cold_gate.lock().note(&selected.id, now);
+        gateway.cold_gate.lock().record_sent(&selected.id, now);
     }
     Some(selected)
 }
@@ -73,7 +73,7 @@
     let own_name = &gateway.incarnation.name;
     let shares = cold.into_iter().map(|entry| {
         let other_instances = other_instances.iter().copied();
-        let share = cold_start.share_by_name(own_name, other_instances, &entry.id);
+        let share = cold_start.share_per_s_by_hash(own_name, other_instances, &entry.id);
         (entry.id.clone(), share)
     });
     shares.collect()
--- a/src/gateway/message_heads.rs
+++ b/src/gateway/message_heads.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::kernel::endpoint_word::EndpointWord;
+use crate::kernel::endpoint_signals::EndpointSignals;
 
 /// The head of a caller's request.
 #[derive(Debug, Clone, PartialEq)]
@@ -98,5 +98,5 @@
     /// Time for which the endpoint keeps the connection open when idle.
     pub idle_timeout: Option<Duration>,
     /// Endpoint signals in the response headers: draining, cooldown and rate limit.
-    pub signals: EndpointWord,
+    pub signals: EndpointSignals,
 }
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -287,7 +287,10 @@
         };
         if self.has_engines(service) {
             let ledgers = self.ledgers.shard(service);
-            return ledgers.lock().ledger.permit(endpoint, asker, limit, now);
+            return ledgers
+                .lock()
+                .ledger
+                .request_permit(endpoint, asker, limit, now);
         }
         desk.given.lock().ask(endpoint, asker, limit, now)
     }
@@ -324,7 +327,7 @@
     pub(crate) fn take_limits(&self, told: Vec<wire::EndpointLimit>) {
         let mut is_news = false;
         for limit in told {
-            let endpoint = self.fleet.lock().id_of(limit.endpoint);
+            let endpoint = self.fleet.lock().id_by_short_name(limit.endpoint);
             let Some(endpoint) = endpoint else { continue };
             let news = LimitNews {
                 endpoint,
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -348,7 +348,7 @@
         Err(error) => return Attempt::NotRun(error.to_string()),
     };
     // The endpoint may have started to leave since it was selected.
-    if !gateway.fleet.lock().takes_work(&endpoint.id) {
+    if !gateway.fleet.lock().can_accept_work(&endpoint.id) {
         return Attempt::NotRun("the endpoint is leaving".to_owned());
     }
     if gateway.is_cooling_down(&endpoint.id) {
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -2,19 +2,20 @@
 //!
 //! The same functions run under the daemon, in unit tests with a manual clock and in the model checker.
 
+pub mod admission_queue;
 pub mod attempt;
 pub mod backoff;
 pub mod clock;
-pub mod cold;
+pub mod cold_start;
 pub mod config;
 pub mod content;
 pub mod departures;
 pub mod endpoint_entry;
-pub mod endpoint_word;
+pub mod endpoint_signals;
+
 pub mod engine_ledger;
 mod engine_moves;
 mod engine_run;
-pub mod estimate;
 pub mod evacuation;
 pub mod event_split;
 pub mod fairness;
@@ -25,6 +26,7 @@
 pub mod health;
 pub mod label;
 pub mod lease;
+pub mod length_estimates;
 pub mod limit;
 pub mod live_view;
 pub mod membership;
@@ -39,7 +41,6 @@
 pub mod rest;
 pub mod retry;
 pub mod roles;
-pub mod room_queue;
 pub mod route;
 pub mod rules;
 pub mod sharers;
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -1,7 +1,9 @@
 //! The kernel's decisions, one by one, on a clock moved by hand.
 
-#[path = "kernel/cold.rs"]
-mod cold;
+#[path = "kernel/admission_queue.rs"]
+mod admission_queue;
+#[path = "kernel/cold_start.rs"]
+mod cold_start;
 #[path = "kernel/config.rs"]
 mod config;
 #[path = "kernel/engine_ledger.rs"]
@@ -16,8 +18,8 @@
 mod group;
 #[path = "kernel/hall.rs"]
 mod hall;
-#[path = "kernel/lengths.rs"]
-mod lengths;
+#[path = "kernel/length_estimates.rs"]
+mod length_estimates;
 #[path = "kernel/limit.rs"]
 mod limit;
 #[path = "kernel/losses.rs"]
@@ -38,8 +40,6 @@
 mod rest;
 #[path = "kernel/retry.rs"]
 mod retry;
-#[path = "kernel/room_queue.rs"]
-mod room_queue;
 #[path = "kernel/routes.rs"]
 mod routes;
 #[path = "kernel/sharers.rs"]
