--- a/src/bin/larkwick-standin/main.rs
+++ b/src/bin/larkwick-standin/main.rs
@@ -4,7 +4,7 @@
 
 use std::process::ExitCode;
 
-use larkwick::kernel::policy::HeldModel;
+use larkwick::kernel::policy::LoadedModel;
 use larkwick::standin::engine::EngineSettings;
 use larkwick::standin::{engine, platform, service};
 
@@ -46,7 +46,7 @@
     };
     let models = flags.model.iter().map(|text| {
         let (name, version) = text.split_once('@').unwrap_or((text, "1"));
-        HeldModel {
+        LoadedModel {
             name: name.to_owned(),
             version: version.to_owned(),
         }
--- a/src/bin/larkwickd/demo.rs
+++ b/src/bin/larkwickd/demo.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use larkwick::kernel::clock::SystemClock;
-use larkwick::kernel::policy::HeldModel;
+use larkwick::kernel::policy::LoadedModel;
 use larkwick::log_service;
 use larkwick::settings::parse_jsonc;
 use larkwick::standin::engine::{EngineSettings, run as run_engine};
@@ -29,7 +29,7 @@
         control: any_loopback_port(),
         platform: None,
         spec: EngineSpec::default(),
-        models: vec![HeldModel {
+        models: vec![LoadedModel {
             name: "demo".to_owned(),
             version: "1".to_owned(),
         }],
--- a/src/daemon/endpoints.rs
+++ b/src/daemon/endpoints.rs
@@ -14,7 +14,7 @@
 use crate::endpoint::Endpoint;
 use crate::kernel::membership::Incarnation;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
-use crate::kernel::policy::{HeldModel, LoadReport, Scope};
+use crate::kernel::policy::{LoadReport, LoadedModel, Scope};
 use crate::settings::ms;
 
 /// An endpoint that has not reported for this long gets no new work from its group.
@@ -123,7 +123,7 @@
     pub(crate) fn held_version(&self, name: &str, model: &str, wanted: &str) -> Option<String> {
         let known = self.known.lock();
         let models = &known.get(name)?.report.as_ref()?.models;
-        let of_model = |held: &&HeldModel| held.name == model;
+        let of_model = |held: &&LoadedModel| held.name == model;
         let exact = models
             .iter()
             .filter(of_model)
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -18,7 +18,7 @@
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::EndpointRole;
 use crate::kernel::placement::{Assignment, DemandByModel, plan};
-use crate::kernel::policy::HeldModel;
+use crate::kernel::policy::LoadedModel;
 use crate::kernel::rules::Catalog;
 use crate::log_service::CONFIG_STREAM;
 use crate::settings::{Settings, ms};
@@ -40,10 +40,10 @@
 
 #[derive(Debug, Clone, Serialize)]
 struct OrderGiven {
-    order_models: Vec<HeldModel>,
+    order_models: Vec<LoadedModel>,
     fence: u64,
     at: Duration,
-    loaded: Vec<HeldModel>,
+    loaded: Vec<LoadedModel>,
     failure: Option<String>,
 }
 
@@ -59,8 +59,8 @@
 #[derive(Debug, Serialize)]
 struct OrderDump {
     fence: u64,
-    desired: Vec<HeldModel>,
-    loaded: Vec<HeldModel>,
+    desired: Vec<LoadedModel>,
+    loaded: Vec<LoadedModel>,
     failure: Option<String>,
 }
 
@@ -190,7 +190,7 @@
     if now.saturating_sub(proof.since) < within {
         return;
     }
-    let held: BTreeMap<String, Vec<HeldModel>> = catalog
+    let held: BTreeMap<String, Vec<LoadedModel>> = catalog
         .endpoints
         .iter()
         .filter(|endpoint| endpoint.hall == *hall)
@@ -212,7 +212,7 @@
 /// Adds the versions that an engine holds of models whose planned version it does not hold yet: they serve until it does.
 fn keep_until_replaced(
     mut planned: Assignment,
-    held: &BTreeMap<String, Vec<HeldModel>>,
+    held: &BTreeMap<String, Vec<LoadedModel>>,
 ) -> Assignment {
     let Some(held) = held.get(&planned.endpoint) else {
         return planned;
@@ -279,7 +279,7 @@
         .flatten()
 }
 
-fn weights(catalog: &Catalog, held: &HeldModel) -> u64 {
+fn weights(catalog: &Catalog, held: &LoadedModel) -> u64 {
     catalog
         .model(&held.name)
         .map_or(0, |model| model.weights_bytes)
--- a/src/endpoint/protocol.rs
+++ b/src/endpoint/protocol.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use crate::kernel::policy::HeldModel;
+use crate::kernel::policy::LoadedModel;
 
 /// Header that carries the request id both ways.
 pub const REQUEST_ID_HEADER: &str = "larkwick-request-id";
@@ -110,7 +110,7 @@
     /// Fence of the lease.
     pub fence: u64,
     /// Models to hold, and no others.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Size of each model's weights, in the same order, in bytes.
     pub weights_bytes: Vec<u64>,
 }
@@ -121,7 +121,7 @@
     /// Fence of the order in force; 0 for none.
     pub fence: u64,
     /// Models that the order in force asks for.
-    pub desired: Vec<HeldModel>,
+    pub desired: Vec<LoadedModel>,
     /// Models loaded.
-    pub loaded: Vec<HeldModel>,
+    pub loaded: Vec<LoadedModel>,
 }
--- a/src/kernel/placement.rs
+++ b/src/kernel/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::object::{Endpoint, EndpointRole, Model};
-use super::policy::HeldModel;
+use super::policy::LoadedModel;
 use super::rules::Catalog;
 
 /// What an engine should hold.
@@ -12,7 +12,7 @@
     /// Endpoint.
     pub endpoint: String,
     /// Models and versions, in order of name.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
 }
 
 /// Recent tokens per model in a hall.
@@ -26,7 +26,7 @@
     catalog: &Catalog,
     hall: &str,
     demand: &DemandByModel,
-    held: &BTreeMap<String, Vec<HeldModel>>,
+    held: &BTreeMap<String, Vec<LoadedModel>>,
 ) -> Vec<Assignment> {
     let engines: Vec<&Endpoint> = catalog
         .endpoints
@@ -73,7 +73,7 @@
 
 struct Plan<'a> {
     catalog: &'a Catalog,
-    held: &'a BTreeMap<String, Vec<HeldModel>>,
+    held: &'a BTreeMap<String, Vec<LoadedModel>>,
     engines: Vec<PlannedEngine<'a>>,
 }
 
@@ -86,7 +86,7 @@
     fn new(
         catalog: &'a Catalog,
         engines: &[&'a Endpoint],
-        held: &'a BTreeMap<String, Vec<HeldModel>>,
+        held: &'a BTreeMap<String, Vec<LoadedModel>>,
     ) -> Self {
         let engines = engines.iter().map(|endpoint| PlannedEngine {
             endpoint,
@@ -151,10 +151,10 @@
 
     fn finish(self) -> Vec<Assignment> {
         let assignment = |engine: PlannedEngine<'_>| {
-            let mut models: Vec<HeldModel> = engine
+            let mut models: Vec<LoadedModel> = engine
                 .models
                 .iter()
-                .map(|model| HeldModel {
+                .map(|model| LoadedModel {
                     name: model.name.clone(),
                     version: model.version.clone(),
                 })
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -8,7 +8,7 @@
 
 /// A model version that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// Model name.
     pub name: String,
     /// Version.
@@ -35,7 +35,7 @@
     pub preemptions_total: u64,
     /// Models loaded.
     #[serde(default)]
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
 }
 
 /// What the owner of a group knows exactly about an endpoint, because it granted it.
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -24,7 +24,7 @@
     OrderStatus, Started,
 };
 use crate::kernel::membership::Incarnation;
-use crate::kernel::policy::{HeldModel, LoadReport};
+use crate::kernel::policy::{LoadReport, LoadedModel};
 
 /// Settings of a stand-in engine.
 #[derive(Debug, Clone)]
@@ -40,7 +40,7 @@
     /// Speed and size.
     pub spec: EngineSpec,
     /// Models loaded from the start.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Whether older fences are refused.
     pub checks_fence: bool,
 }
@@ -80,7 +80,7 @@
 struct Inner {
     core: EngineCore,
     faults: EngineFaults,
-    models: Vec<HeldModel>,
+    models: Vec<LoadedModel>,
     order: Option<Order>,
     newest_fence: u64,
     reports: VecDeque<TimedReport>,
@@ -333,7 +333,7 @@
     request: Json<GenerationRequest>,
 ) -> Answer<impl Stream<Item = Vec<u8>> + use<>> {
     let mut inner = engine.inner.lock();
-    let wanted = HeldModel {
+    let wanted = LoadedModel {
         name: request.model.clone(),
         version: request.version.clone(),
     };
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -13,7 +13,7 @@
 use super::stream::{MODEL, StreamEnd, StreamMeasured, Target, drive};
 use crate::endpoint::plain_client;
 use crate::kernel::clock::SystemClock;
-use crate::kernel::policy::HeldModel;
+use crate::kernel::policy::LoadedModel;
 use crate::log_service::{self, Platform};
 use crate::settings::Settings;
 use crate::standin::engine::{EngineFaults, EngineSettings, RunningEngine, run as run_engine};
@@ -169,7 +169,7 @@
         control: any_loopback_port(),
         platform: None,
         spec: engine_spec(),
-        models: vec![HeldModel {
+        models: vec![LoadedModel {
             name: MODEL.to_owned(),
             version: "1".to_owned(),
         }],
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -4,7 +4,7 @@
 
 use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
 use larkwick::kernel::placement::{DemandByModel, plan};
-use larkwick::kernel::policy::HeldModel;
+use larkwick::kernel::policy::LoadedModel;
 use larkwick::kernel::rules::{Catalog, Work};
 use larkwick::tool::check::parse_objects;
 use serde_json::{Value, json};
@@ -51,7 +51,7 @@
     ])
 }
 
-fn all_live() -> BTreeMap<String, Vec<HeldModel>> {
+fn all_live() -> BTreeMap<String, Vec<LoadedModel>> {
     ["e1", "e2", "e3"]
         .map(|name| (name.to_owned(), Vec::new()))
         .into()
