--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -15,7 +15,7 @@
 use crate::kernel::estimate::{Spread, Survival};
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
-use crate::kernel::policy::{self, Candidate, Demand, InFlight, Scope, approximate};
+use crate::kernel::policy::{self, Candidate, Demand, InFlight, Scope, tokens_as_f64};
 use crate::kernel::rules::{Allowed, Catalog, Work};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
@@ -123,7 +123,7 @@
                     let endpoint = &catalog.endpoints[one.index];
                     Candidate {
                         name: &endpoint.name,
-                        capacity_tokens: approximate(capacity(endpoint)),
+                        capacity_tokens: tokens_as_f64(capacity(endpoint)),
                         report: report.as_ref(),
                         in_flight: InFlight::default(),
                         fill_limit: 1.0,
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -10,7 +10,7 @@
 use super::estimate::Estimates;
 use super::fairness::{GrantPace, Usage};
 use super::policy::{
-    Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, approximate,
+    Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
 };
 use crate::error::{Error, ErrorKind};
 
@@ -223,7 +223,7 @@
 
     /// Adds an endpoint or changes its memory.
     pub fn set_endpoint(&mut self, name: &str, capacity_tokens: u64) {
-        let capacity_tokens = approximate(capacity_tokens);
+        let capacity_tokens = tokens_as_f64(capacity_tokens);
         self.places
             .entry(name.to_owned())
             .or_insert_with(|| Place {
@@ -247,7 +247,7 @@
             .as_ref()
             .filter(|last| last.incarnation == report.incarnation);
         let preempted = same.is_some_and(|last| report.preemptions_total > last.preemptions_total);
-        let used = approximate(report.kv_used_tokens) / place.capacity_tokens;
+        let used = tokens_as_f64(report.kv_used_tokens) / place.capacity_tokens;
         if preempted {
             place.fill_limit = (place.fill_limit * FILL_LIMIT_DECREASE).max(FILL_LIMIT_MIN);
         } else if crowded && used < FULL_ENOUGH {
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -246,7 +246,7 @@
         let fill = |candidate: &Candidate<'_>| {
             candidate.report.map_or(0.0, |report| {
                 f64::from(report.waiting)
-                    + approximate(report.kv_used_tokens) / candidate.capacity_tokens
+                    + tokens_as_f64(report.kv_used_tokens) / candidate.capacity_tokens
             })
         };
         let least = lowest(candidates, fill)?;
@@ -264,7 +264,7 @@
     clippy::cast_precision_loss,
     reason = "token counts stay far below 2^53"
 )]
-pub fn approximate(tokens: u64) -> f64 {
+pub fn tokens_as_f64(tokens: u64) -> f64 {
     tokens as f64
 }
 
--- a/src/tool/load/arrivals.rs
+++ b/src/tool/load/arrivals.rs
@@ -173,9 +173,9 @@
     let mut engine = EngineCore::new(spec.clone());
     let mut took = Duration::ZERO;
     let mut submitted: u32 = 0;
-    let room = crate::kernel::policy::approximate(spec.kv_capacity_tokens) * FILL;
+    let room = crate::kernel::policy::tokens_as_f64(spec.kv_capacity_tokens) * FILL;
     while submitted < REQUESTS {
-        let used = crate::kernel::policy::approximate(engine.counts().kv_used_tokens);
+        let used = crate::kernel::policy::tokens_as_f64(engine.counts().kv_used_tokens);
         if used < room && engine.counts().waiting == 0 {
             let arrival = mix.draw(Duration::ZERO, &mut random);
             engine.submit(super::stream::generation_request(&arrival, mix));
--- a/src/tool/load/table.rs
+++ b/src/tool/load/table.rs
@@ -14,7 +14,7 @@
 
 /// A count as a float; exact below 2^53.
 fn float(count: u64) -> f64 {
-    crate::kernel::policy::approximate(count)
+    crate::kernel::policy::tokens_as_f64(count)
 }
 
 /// The measures, in the order of the columns. The first three are the users' own.
