--- a/src/daemon/endpoints.rs
+++ b/src/daemon/endpoints.rs
@@ -14,7 +14,7 @@
 use crate::endpoint::Endpoint;
 use crate::kernel::membership::Incarnation;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
-use crate::kernel::policy::{LoadReport, LoadedModel, Scope};
+use crate::kernel::policy::{LoadReport, LoadedModel, PolicyScope};
 use crate::settings::ms;
 
 /// An endpoint that has not reported for this long gets no new work from its group.
@@ -250,7 +250,7 @@
 /// alone. A lease holder reads its whole hall in every `HALL_EVERY`-th round.
 fn polled(node: &Node, round: u32) -> Vec<EndpointObject> {
     let catalog = node.catalog();
-    let alone = node.policy_scope() == Scope::Entry;
+    let alone = node.policy_scope() == PolicyScope::Entry;
     let all = catalog.endpoints.iter();
     let used_service = |endpoint: &EndpointObject| {
         matches!(endpoint.role, EndpointRole::Service { .. })
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -19,7 +19,7 @@
 };
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
-use crate::kernel::policy::{self, LoadReport, Scope};
+use crate::kernel::policy::{self, LoadReport, PolicyScope};
 use crate::kernel::rules::Catalog;
 use crate::peer::generated as wire;
 use crate::settings::ms;
@@ -128,8 +128,8 @@
 
 impl Node {
     /// Who applies the policy of the settings.
-    pub(crate) fn policy_scope(&self) -> Scope {
-        policy::build(&self.settings.policy).map_or(Scope::Group, |policy| policy.scope())
+    pub(crate) fn policy_scope(&self) -> PolicyScope {
+        policy::build(&self.settings.policy).map_or(PolicyScope::Group, |policy| policy.scope())
     }
 
     /// The owner of a group: by the live view of the hall's instances, or of all where the hall has none.
--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -15,7 +15,7 @@
 use crate::kernel::estimate::{Spread, Survival};
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
-use crate::kernel::policy::{self, Candidate, Demand, InFlight, Scope, tokens_as_f64};
+use crate::kernel::policy::{self, Candidate, Demand, InFlight, PolicyScope, tokens_as_f64};
 use crate::kernel::rules::{Allowed, Catalog, Work};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
@@ -69,8 +69,8 @@
             return Err(no_endpoint());
         }
         match self.policy_scope() {
-            Scope::Entry => self.place_alone(&catalog, wanted, &allowed),
-            Scope::Group => self.place_by_owner(&catalog, wanted, &allowed).await,
+            PolicyScope::Entry => self.place_alone(&catalog, wanted, &allowed),
+            PolicyScope::Group => self.place_by_owner(&catalog, wanted, &allowed).await,
         }
     }
 
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -150,7 +150,7 @@
 
 /// Who applies the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum PolicyScope {
     /// Each entry alone, on lagging reports.
     Entry,
     /// The group's owner, on what it granted.
@@ -162,7 +162,7 @@
     /// Name in the settings.
     fn name(&self) -> &'static str;
     /// Who applies it.
-    fn scope(&self) -> Scope;
+    fn scope(&self) -> PolicyScope;
     /// Index of the chosen candidate; `None` where none has room.
     fn choose(
         &self,
@@ -212,8 +212,8 @@
         "random"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Entry
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Entry
     }
 
     fn choose(
@@ -233,8 +233,8 @@
         "least_loaded"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Entry
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Entry
     }
 
     fn choose(
@@ -276,8 +276,8 @@
         "least_in_flight"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Group
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Group
     }
 
     fn choose(&self, candidates: &[Candidate<'_>], _: &Demand, _: &mut dyn Rng) -> Option<usize> {
@@ -295,8 +295,8 @@
         "fixed_reservation"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Group
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Group
     }
 
     fn choose(
@@ -353,8 +353,8 @@
         "residual"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Group
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Group
     }
 
     fn choose(
@@ -377,8 +377,8 @@
         "profile"
     }
 
-    fn scope(&self) -> Scope {
-        Scope::Group
+    fn scope(&self) -> PolicyScope {
+        PolicyScope::Group
     }
 
     fn choose(
