--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -8,7 +8,7 @@
 use uuid::Uuid;
 
 use super::lease::{Claim, LeaseFold};
-use super::object::{Invalid, Object, ObjectKey, ObjectKind};
+use super::object::{InvalidField, Object, ObjectKey, ObjectKind};
 
 /// How many offsets back a record's base may lie, and how long publish ids and tombstones are kept.
 ///
@@ -93,7 +93,7 @@
         current_revision: u64,
     },
     /// A check failed.
-    Invalid(Invalid),
+    Invalid(InvalidField),
     /// The base lies too far back or ahead.
     StaleBase,
 }
@@ -260,7 +260,7 @@
     }
 
     /// Checks between objects, as they would be after the publish: an endpoint's hall must be published.
-    fn check_references(&self, publish: &Publish) -> Result<(), Invalid> {
+    fn check_references(&self, publish: &Publish) -> Result<(), InvalidField> {
         let after = AfterPublish::new(self, publish);
         for change in &publish.changes {
             match &change.action {
@@ -314,7 +314,7 @@
         }
     }
 
-    fn check_hall_of(&self, object: &Object) -> Result<(), Invalid> {
+    fn check_hall_of(&self, object: &Object) -> Result<(), InvalidField> {
         let Object::Endpoint(endpoint) = object else {
             return Ok(());
         };
@@ -325,14 +325,14 @@
         if self.has(&hall) {
             return Ok(());
         }
-        Err(Invalid {
+        Err(InvalidField {
             object: object.key().to_string(),
             field: "hall".to_owned(),
             allowed: format!("{:?} is not a published hall", endpoint.hall),
         })
     }
 
-    fn check_all(&self) -> Result<(), Invalid> {
+    fn check_all(&self) -> Result<(), InvalidField> {
         let unchanged = self.state.objects.iter();
         let unchanged = unchanged.filter(|(key, _)| !self.changed.contains_key(key));
         for (_, held) in unchanged {
--- a/src/kernel/object.rs
+++ b/src/kernel/object.rs
@@ -219,7 +219,7 @@
 
 /// A field that fails a check.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Invalid {
+pub struct InvalidField {
     /// Which object.
     pub object: String,
     /// Which field.
@@ -228,7 +228,7 @@
     pub allowed: String,
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidField {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -259,10 +259,10 @@
     ///
     /// # Errors
     /// The field and what is allowed there.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn check(&self) -> Result<(), InvalidField> {
         let key = self.key();
         let fail = |field: &str, allowed: &str| {
-            Err(Invalid {
+            Err(InvalidField {
                 object: key.to_string(),
                 field: field.to_owned(),
                 allowed: allowed.to_owned(),
@@ -297,8 +297,8 @@
 
 fn check_endpoint(
     endpoint: &Endpoint,
-    fail: impl Fn(&str, &str) -> Result<(), Invalid>,
-) -> Result<(), Invalid> {
+    fail: impl Fn(&str, &str) -> Result<(), InvalidField>,
+) -> Result<(), InvalidField> {
     if endpoint.address.parse::<std::net::SocketAddr>().is_err() {
         return fail("address", "an IP address and port, such as 10.0.0.7:8000");
     }
--- a/src/tool/check.rs
+++ b/src/tool/check.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use crate::endpoint;
-use crate::kernel::object::{Invalid, Object};
+use crate::kernel::object::{InvalidField, Object};
 use crate::settings::{FileError, Settings, line_of_field, parse_jsonc};
 
 /// A file of objects.
@@ -50,7 +50,7 @@
     Ok(parsed.objects)
 }
 
-fn check_object(object: &Object) -> Result<(), Invalid> {
+fn check_object(object: &Object) -> Result<(), InvalidField> {
     object.check()?;
     let Object::Endpoint(published) = object else {
         return Ok(());
@@ -59,7 +59,7 @@
     if known.contains(&published.plugin.as_str()) {
         return Ok(());
     }
-    Err(Invalid {
+    Err(InvalidField {
         object: object.key().to_string(),
         field: "plugin".to_owned(),
         allowed: format!("one of {}", known.join(", ")),
@@ -67,7 +67,7 @@
 }
 
 /// Finds the field's line: its first appearance after the object's name, else the line of the name.
-fn located(file: &str, text: &str, object: &Object, invalid: &Invalid) -> FileError {
+fn located(file: &str, text: &str, object: &Object, invalid: &InvalidField) -> FileError {
     let name = format!("\"{}\"", object.key().name);
     let name_line = text
         .lines()
