--- a/src/kernel/object.rs
+++ b/src/kernel/object.rs
@@ -268,7 +268,7 @@
                 allowed: allowed.to_owned(),
             })
         };
-        if !is_name(&key.name) {
+        if !is_valid_name(&key.name) {
             return fail(
                 "name",
                 "1 to 100 of the characters a-z, 0-9, '-', '_' and '.'",
@@ -308,7 +308,7 @@
             ..
         } => fail("kv_capacity_tokens", "must be positive"),
         EndpointRole::Engine { model_slots: 0, .. } => fail("model_slots", "must be positive"),
-        EndpointRole::Service { service } if !is_name(service) => {
+        EndpointRole::Service { service } if !is_valid_name(service) => {
             fail("service", "a name such as fee-lookup")
         }
         _ => Ok(()),
@@ -317,7 +317,7 @@
 
 /// Whether the text can name an object: it stands in paths, tickets and event ids.
 #[must_use]
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.')
     };
--- a/src/kernel/stream.rs
+++ b/src/kernel/stream.rs
@@ -5,7 +5,7 @@
 
 use uuid::Uuid;
 
-use super::object::is_name;
+use super::object::is_valid_name;
 
 const GENERATION_SEPARATOR: char = '~';
 const INDEX_SEPARATOR: char = ':';
@@ -66,7 +66,7 @@
         else {
             return Err(NotAnEventId);
         };
-        if !is_name(endpoint) {
+        if !is_valid_name(endpoint) {
             return Err(NotAnEventId);
         }
         Ok(Self {
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use super::object::is_name;
+use super::object::is_valid_name;
 
 const SEPARATOR: char = '~';
 
@@ -49,7 +49,7 @@
         else {
             return Err(NotATicket);
         };
-        if !is_name(instance) {
+        if !is_valid_name(instance) {
             return Err(NotATicket);
         }
         Ok(Self {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::site_store;
-use crate::kernel::object::is_name;
+use crate::kernel::object::is_valid_name;
 use crate::{endpoint, kernel::policy, log_service};
 
 pub mod fault;
@@ -243,7 +243,7 @@
     /// The first field at fault.
     pub fn check(&self) -> Result<(), SettingsFault> {
         let fault = |field, allowed: String| Err(SettingsFault { field, allowed });
-        if !is_name(&self.instance) {
+        if !is_valid_name(&self.instance) {
             return fault("instance", "a name of a-z, 0-9, '-', '_', '.'".to_owned());
         }
         if policy::build(&self.policy).is_none() {
