--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -238,7 +238,7 @@
         let ChangeAction::Put { object } = &change.action else {
             return None;
         };
-        object.check().err().map(Verdict::Invalid)
+        object.validate().err().map(Verdict::Invalid)
     }
 
     fn commit(&mut self, offset: u64, publish: &Publish) {
--- a/src/kernel/object.rs
+++ b/src/kernel/object.rs
@@ -259,7 +259,7 @@
     ///
     /// # Errors
     /// The field and what is allowed there.
-    pub fn check(&self) -> Result<(), InvalidField> {
+    pub fn validate(&self) -> Result<(), InvalidField> {
         let key = self.key();
         let fail = |field: &str, allowed: &str| {
             Err(InvalidField {
@@ -276,7 +276,7 @@
         }
         match self {
             Self::Hall(hall) if hall.region.is_empty() => fail("region", "must not be empty"),
-            Self::Endpoint(endpoint) => check_endpoint(endpoint, fail),
+            Self::Endpoint(endpoint) => validate_endpoint(endpoint, fail),
             Self::Model(model) if model.max_output_tokens == 0 => {
                 fail("max_output_tokens", "must be positive")
             }
@@ -295,7 +295,7 @@
     }
 }
 
-fn check_endpoint(
+fn validate_endpoint(
     endpoint: &Endpoint,
     fail: impl Fn(&str, &str) -> Result<(), InvalidField>,
 ) -> Result<(), InvalidField> {
--- a/src/tool/check.rs
+++ b/src/tool/check.rs
@@ -51,7 +51,7 @@
 }
 
 fn check_object(object: &Object) -> Result<(), InvalidField> {
-    object.check()?;
+    object.validate()?;
     let Object::Endpoint(published) = object else {
         return Ok(());
     };
