--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -59,7 +59,7 @@
 fn account(index: u32) -> Object {
     Object::ClientAccount(ClientAccount {
         name: format!("account-{index}"),
-        labels: larkwick::kernel::label::Labels::default().with("size", "small"),
+        labels: larkwick::kernel::label::Labels::default().with_label("size", "small"),
         key_blake3: blake3::hash(&index.to_le_bytes()).to_hex().to_string(),
         share: 1,
     })
--- a/src/kernel/label.rs
+++ b/src/kernel/label.rs
@@ -20,7 +20,7 @@
 
     /// A copy with one more label; an existing value is replaced.
     #[must_use]
-    pub fn with(&self, key: &str, value: &str) -> Self {
+    pub fn with_label(&self, key: &str, value: &str) -> Self {
         let mut labels = self.clone();
         labels.0.insert(key.to_owned(), value.to_owned());
         labels
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -113,7 +113,7 @@
     /// # Errors
     /// `UnknownModel`, `UnknownService` or `NotAllowed`.
     pub fn allowed(&self, account: &ClientAccount, work: Work<'_>) -> Result<Vec<Allowed>> {
-        let account_labels = account.labels.with("account", &account.name);
+        let account_labels = account.labels.with_label("account", &account.name);
         let work_labels = self.work_labels(work)?;
         let rules: Vec<&Rule> = self
             .rules
@@ -160,10 +160,10 @@
 
     fn work_labels(&self, work: Work<'_>) -> Result<Labels> {
         match work {
-            Work::Model(name) => Ok(self.model(name)?.labels.with("model", name)),
+            Work::Model(name) => Ok(self.model(name)?.labels.with_label("model", name)),
             Work::Service(name) => {
                 let known = self.endpoints.iter().any(|e| serves(e, work));
-                let labels = Labels::default().with("service", name);
+                let labels = Labels::default().with_label("service", name);
                 known.then_some(labels).ok_or_else(|| {
                     Error::new(
                         ErrorKind::UnknownService,
@@ -195,7 +195,7 @@
     };
     endpoint
         .labels
-        .with("endpoint", &endpoint.name)
-        .with("hall", &endpoint.hall)
-        .with("region", region)
+        .with_label("endpoint", &endpoint.name)
+        .with_label("hall", &endpoint.hall)
+        .with_label("region", region)
 }
