--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -16,7 +16,7 @@
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
 use crate::kernel::policy::{self, Candidate, Demand, InFlight, PolicyScope, tokens_as_f64};
-use crate::kernel::rules::{Allowed, Catalog, Work};
+use crate::kernel::rules::{Allowed, Catalog, Workload};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
 
@@ -59,7 +59,7 @@
     /// Finds a place.
     pub(crate) async fn find_place(self: &Arc<Self>, wanted: &PlaceWanted<'_>) -> Result<Place> {
         let catalog = self.catalog();
-        let work = Work::Model(&wanted.model.name);
+        let work = Workload::Model(&wanted.model.name);
         let allowed: Vec<Allowed> = catalog
             .allowed(wanted.account, work)?
             .into_iter()
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -13,7 +13,7 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
 use crate::kernel::object::Endpoint as EndpointObject;
-use crate::kernel::rules::Work;
+use crate::kernel::rules::Workload;
 use crate::settings::ms;
 
 /// Runs the call and writes its answer.
@@ -46,7 +46,7 @@
     };
     let deadline = request.options.deadline;
     let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
-    let allowed = catalog.allowed(account, Work::Service(service))?;
+    let allowed = catalog.allowed(account, Workload::Service(service))?;
     let mut endpoints: Vec<EndpointObject> = allowed
         .iter()
         .map(|one| catalog.endpoints[one.index].clone())
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -11,7 +11,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work<'a> {
+pub enum Workload<'a> {
     /// A generation by a model.
     Model(&'a str),
     /// A call of a plain service.
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// `UnknownModel`, `UnknownService` or `NotAllowed`.
-    pub fn allowed(&self, account: &ClientAccount, work: Work<'_>) -> Result<Vec<Allowed>> {
+    pub fn allowed(&self, account: &ClientAccount, work: Workload<'_>) -> Result<Vec<Allowed>> {
         let account_labels = account.labels.with_label("account", &account.name);
         let work_labels = self.work_labels(work)?;
         let rules: Vec<&Rule> = self
@@ -138,7 +138,7 @@
     /// Whether any rule lets any account run the model on the endpoint.
     #[must_use]
     pub fn may_hold(&self, model: &Model, endpoint: &Endpoint) -> bool {
-        let Ok(work_labels) = self.work_labels(Work::Model(&model.name)) else {
+        let Ok(work_labels) = self.work_labels(Workload::Model(&model.name)) else {
             return false;
         };
         let Some(index) = self.endpoints.iter().position(|e| e.name == endpoint.name) else {
@@ -158,10 +158,10 @@
             .map(|priority| Allowed { index, priority })
     }
 
-    fn work_labels(&self, work: Work<'_>) -> Result<Labels> {
+    fn work_labels(&self, work: Workload<'_>) -> Result<Labels> {
         match work {
-            Work::Model(name) => Ok(self.model(name)?.labels.with_label("model", name)),
-            Work::Service(name) => {
+            Workload::Model(name) => Ok(self.model(name)?.labels.with_label("model", name)),
+            Workload::Service(name) => {
                 let known = self.endpoints.iter().any(|e| serves(e, work));
                 let labels = Labels::default().with_label("service", name);
                 known.then_some(labels).ok_or_else(|| {
@@ -175,10 +175,10 @@
     }
 }
 
-fn serves(endpoint: &Endpoint, work: Work<'_>) -> bool {
+fn serves(endpoint: &Endpoint, work: Workload<'_>) -> bool {
     match (&endpoint.role, work) {
-        (EndpointRole::Engine { .. }, Work::Model(_)) => true,
-        (EndpointRole::Service { service }, Work::Service(name)) => service == name,
+        (EndpointRole::Engine { .. }, Workload::Model(_)) => true,
+        (EndpointRole::Service { service }, Workload::Service(name)) => service == name,
         _ => false,
     }
 }
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -5,7 +5,7 @@
 use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
 use larkwick::kernel::placement::{DemandByModel, plan};
 use larkwick::kernel::policy::LoadedModel;
-use larkwick::kernel::rules::{Catalog, Work};
+use larkwick::kernel::rules::{Catalog, Workload};
 use larkwick::tool::check::parse_objects;
 use serde_json::{Value, json};
 use uuid::Uuid;
@@ -73,15 +73,15 @@
     let catalog = catalog(&site());
     let account = catalog.account("k").expect("account");
     let allowed = catalog
-        .allowed(account, Work::Model("chat"))
+        .allowed(account, Workload::Model("chat"))
         .expect("allowed");
     let priorities: Vec<i32> = allowed.iter().map(|one| one.priority).collect();
     assert_eq!(priorities, [5, 1, 1]);
     let allowed = catalog
-        .allowed(account, Work::Model("batch"))
+        .allowed(account, Workload::Model("batch"))
         .expect("allowed");
     assert_eq!(allowed.len(), 2);
-    assert!(catalog.allowed(account, Work::Model("none")).is_err());
+    assert!(catalog.allowed(account, Workload::Model("none")).is_err());
 }
 
 #[test]
