--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -16,7 +16,7 @@
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
 use crate::kernel::policy::{self, Candidate, Demand, InFlight, PolicyScope, tokens_as_f64};
-use crate::kernel::rules::{Allowed, Catalog, Workload};
+use crate::kernel::rules::{AllowedEndpoint, Catalog, Workload};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
 
@@ -60,7 +60,7 @@
     pub(crate) async fn find_place(self: &Arc<Self>, wanted: &PlaceWanted<'_>) -> Result<Place> {
         let catalog = self.catalog();
         let work = Workload::Model(&wanted.model.name);
-        let allowed: Vec<Allowed> = catalog
+        let allowed: Vec<AllowedEndpoint> = catalog
             .allowed(wanted.account, work)?
             .into_iter()
             .filter(|one| self.may_go_to(&catalog.endpoints[one.index].name, wanted.excluded))
@@ -80,7 +80,7 @@
     }
 
     /// This entry's own hall first, then the others in random order.
-    fn hall_order(&self, catalog: &Catalog, allowed: &[Allowed]) -> Vec<String> {
+    fn hall_order(&self, catalog: &Catalog, allowed: &[AllowedEndpoint]) -> Vec<String> {
         let mut halls: Vec<String> = allowed
             .iter()
             .map(|one| catalog.endpoints[one.index].hall.clone())
@@ -96,11 +96,11 @@
         &self,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        allowed: &[Allowed],
+        allowed: &[AllowedEndpoint],
     ) -> Result<Place> {
         let policy = policy::build(&self.settings.policy).ok_or_else(no_endpoint)?;
         for hall in self.hall_order(catalog, allowed) {
-            let here: Vec<&Allowed> = allowed
+            let here: Vec<&AllowedEndpoint> = allowed
                 .iter()
                 .filter(|one| catalog.endpoints[one.index].hall == hall)
                 .filter(|one| self.takes_work(&catalog.endpoints[one.index].name))
@@ -148,7 +148,7 @@
         &self,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        chosen: &Allowed,
+        chosen: &AllowedEndpoint,
     ) -> Place {
         let endpoint = catalog.endpoints[chosen.index].clone();
         let model = wanted.model;
@@ -164,7 +164,7 @@
         }
     }
 
-    fn group_choices(&self, catalog: &Catalog, allowed: &[Allowed]) -> Vec<GroupChoice> {
+    fn group_choices(&self, catalog: &Catalog, allowed: &[AllowedEndpoint]) -> Vec<GroupChoice> {
         let mut choices = Vec::new();
         for hall in self.hall_order(catalog, allowed) {
             let mut of_hall: Vec<GroupChoice> = groups_of_hall(&hall, catalog.endpoints.iter())
@@ -194,7 +194,7 @@
         self: &Arc<Self>,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        allowed: &[Allowed],
+        allowed: &[AllowedEndpoint],
     ) -> Result<Place> {
         let choices = self.group_choices(catalog, allowed);
         let mut crowded = None;
@@ -306,9 +306,9 @@
     catalog: &Catalog,
     group: String,
     members: &[&EndpointObject],
-    allowed: &[Allowed],
+    allowed: &[AllowedEndpoint],
 ) -> Option<GroupChoice> {
-    let in_group: Vec<&Allowed> = allowed
+    let in_group: Vec<&AllowedEndpoint> = allowed
         .iter()
         .filter(|one| {
             let name = &catalog.endpoints[one.index].name;
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -20,7 +20,7 @@
 
 /// An endpoint that may serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Allowed {
+pub struct AllowedEndpoint {
     /// Index into [`Catalog::endpoints`].
     pub index: usize,
     /// Highest priority among the rules that match.
@@ -112,7 +112,11 @@
     ///
     /// # Errors
     /// `UnknownModel`, `UnknownService` or `NotAllowed`.
-    pub fn allowed(&self, account: &ClientAccount, work: Workload<'_>) -> Result<Vec<Allowed>> {
+    pub fn allowed(
+        &self,
+        account: &ClientAccount,
+        work: Workload<'_>,
+    ) -> Result<Vec<AllowedEndpoint>> {
         let account_labels = account.labels.with_label("account", &account.name);
         let work_labels = self.work_labels(work)?;
         let rules: Vec<&Rule> = self
@@ -122,7 +126,7 @@
                 rule.accounts.matches(&account_labels) && rule.work.matches(&work_labels)
             })
             .collect();
-        let allowed: Vec<Allowed> = (0..self.endpoints.len())
+        let allowed: Vec<AllowedEndpoint> = (0..self.endpoints.len())
             .filter(|&index| serves(&self.endpoints[index], work))
             .filter_map(|index| self.priority(&rules, index))
             .collect();
@@ -149,13 +153,13 @@
         })
     }
 
-    fn priority(&self, rules: &[&Rule], index: usize) -> Option<Allowed> {
+    fn priority(&self, rules: &[&Rule], index: usize) -> Option<AllowedEndpoint> {
         rules
             .iter()
             .filter(|rule| rule.endpoints.matches(&self.endpoint_labels[index]))
             .map(|rule| rule.priority)
             .max()
-            .map(|priority| Allowed { index, priority })
+            .map(|priority| AllowedEndpoint { index, priority })
     }
 
     fn work_labels(&self, work: Workload<'_>) -> Result<Labels> {
