--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -61,7 +61,7 @@
         let catalog = self.catalog();
         let work = Workload::Model(&wanted.model.name);
         let allowed: Vec<AllowedEndpoint> = catalog
-            .allowed(wanted.account, work)?
+            .allowed_endpoints(wanted.account, work)?
             .into_iter()
             .filter(|one| self.may_go_to(&catalog.endpoints[one.index].name, wanted.excluded))
             .collect();
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -46,7 +46,7 @@
     };
     let deadline = request.options.deadline;
     let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
-    let allowed = catalog.allowed(account, Workload::Service(service))?;
+    let allowed = catalog.allowed_endpoints(account, Workload::Service(service))?;
     let mut endpoints: Vec<EndpointObject> = allowed
         .iter()
         .map(|one| catalog.endpoints[one.index].clone())
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// `UnknownModel`, `UnknownService` or `NotAllowed`.
-    pub fn allowed(
+    pub fn allowed_endpoints(
         &self,
         account: &ClientAccount,
         work: Workload<'_>,
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -73,15 +73,19 @@
     let catalog = catalog(&site());
     let account = catalog.account("k").expect("account");
     let allowed = catalog
-        .allowed(account, Workload::Model("chat"))
+        .allowed_endpoints(account, Workload::Model("chat"))
         .expect("allowed");
     let priorities: Vec<i32> = allowed.iter().map(|one| one.priority).collect();
     assert_eq!(priorities, [5, 1, 1]);
     let allowed = catalog
-        .allowed(account, Workload::Model("batch"))
+        .allowed_endpoints(account, Workload::Model("batch"))
         .expect("allowed");
     assert_eq!(allowed.len(), 2);
-    assert!(catalog.allowed(account, Workload::Model("none")).is_err());
+    assert!(
+        catalog
+            .allowed_endpoints(account, Workload::Model("none"))
+            .is_err()
+    );
 }
 
 #[test]
