--- a/src/kernel/placement.rs
+++ b/src/kernel/placement.rs
@@ -108,7 +108,7 @@
             .iter_mut()
             .filter(|engine| engine.models.len() < slots(engine.endpoint))
             .filter(|engine| engine.models.iter().all(|other| other.name != model.name))
-            .filter(|engine| catalog.may_hold(model, engine.endpoint))
+            .filter(|engine| catalog.can_host_model(model, engine.endpoint))
             .max_by_key(|engine| {
                 let name = &engine.endpoint.name;
                 let holds = held
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -141,7 +141,7 @@
 
     /// Whether any rule lets any account run the model on the endpoint.
     #[must_use]
-    pub fn may_hold(&self, model: &Model, endpoint: &Endpoint) -> bool {
+    pub fn can_host_model(&self, model: &Model, endpoint: &Endpoint) -> bool {
         let Ok(work_labels) = self.work_labels(Workload::Model(&model.name)) else {
             return false;
         };
