--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -85,7 +85,7 @@
     data: Data<'_>,
 ) -> Result<Authorized> {
     let headers = headers?;
-    node.catalog().account(&headers.bearer_key)?;
+    node.catalog().account_for_key(&headers.bearer_key)?;
     let body = read_body(node, data).await?;
     Ok(Authorized { headers, body })
 }
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -99,7 +99,7 @@
     sink: &AnswerSink,
 ) -> Result<()> {
     let catalog = node.catalog();
-    let account = catalog.account(&request.bearer_key)?;
+    let account = catalog.account_for_key(&request.bearer_key)?;
     let model = catalog.model(&asked.model)?;
     let mut run = Run {
         node,
@@ -511,7 +511,7 @@
         .parse()
         .map_err(|error| Error::new(ErrorKind::BadRequest, format!("Last-Event-ID: {error}")))?;
     let catalog = node.catalog();
-    let account = catalog.account(&request.bearer_key)?;
+    let account = catalog.account_for_key(&request.bearer_key)?;
     let object = catalog
         .endpoint(&id.generation.endpoint)
         .ok_or_else(|| lost("its endpoint is not published any more"))?;
--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -36,7 +36,7 @@
             "an idempotency key needs a ticket; take one from /v1/entries",
         ));
     };
-    let account = match node.catalog().account(&request.bearer_key) {
+    let account = match node.catalog().account_for_key(&request.bearer_key) {
         Ok(account) => account.name.clone(),
         Err(error) => return single(error),
     };
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -36,7 +36,7 @@
         return Err(Error::new(ErrorKind::Internal, "not a service call"));
     };
     let catalog = node.catalog();
-    let account = catalog.account(&request.bearer_key)?;
+    let account = catalog.account_for_key(&request.bearer_key)?;
     let call = ServiceCall {
         path: path.clone(),
         content_type: content_type.clone(),
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// `Unauthorized` where no account has the key.
-    pub fn account(&self, bearer_key: &str) -> Result<&ClientAccount> {
+    pub fn account_for_key(&self, bearer_key: &str) -> Result<&ClientAccount> {
         let hash = blake3::hash(bearer_key.as_bytes()).to_hex();
         self.accounts_by_key.get(hash.as_str()).ok_or_else(|| {
             Error::new(
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -71,7 +71,7 @@
 #[test]
 fn allowed_highest_priority_of_matching_rules() {
     let catalog = catalog(&site());
-    let account = catalog.account("k").expect("account");
+    let account = catalog.account_for_key("k").expect("account");
     let allowed = catalog
         .allowed_endpoints(account, Workload::Model("chat"))
         .expect("allowed");
