--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -11,7 +11,7 @@
 use larkwick::kernel::object::{ClientAccount, Object};
 use larkwick::kernel::policy;
 use larkwick::kernel::rules::Catalog;
-use larkwick::kernel::ticket::{OnceKey, TicketBook, TicketLimits};
+use larkwick::kernel::ticket::{DedupTable, OnceKey, TicketLimits};
 use larkwick::standin::platform::PlatformCore;
 use larkwick::{App, Settings, any_loopback_port, log_service};
 use rand::SeedableRng;
@@ -131,7 +131,7 @@
             ..TicketLimits::default()
         };
         let before = resident_kib();
-        let mut book = TicketBook::new("i", Uuid::nil(), limits);
+        let mut book = DedupTable::new("i", Uuid::nil(), limits);
         let ticket = book.ticket();
         let arrive_us = mean_us(requests, |index| {
             let key = OnceKey {
--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -8,7 +8,7 @@
 
 use super::answer::RememberedAnswer;
 use crate::error::{Error, ErrorKind};
-use crate::kernel::ticket::{Arrival, OnceKey, Ticket, TicketBook, TicketLimits};
+use crate::kernel::ticket::{Arrival, DedupTable, OnceKey, Ticket, TicketLimits};
 
 /// What to do with an arrival.
 pub enum OnceDecision {
@@ -24,7 +24,7 @@
 
 /// The memory of one instance.
 pub struct OnceMemory {
-    book: Mutex<TicketBook<Handle>>,
+    book: Mutex<DedupTable<Handle>>,
     bytes: AtomicUsize,
     bytes_max: usize,
 }
@@ -40,7 +40,7 @@
             ..TicketLimits::default()
         };
         Self {
-            book: Mutex::new(TicketBook::new(instance, incarnation, limits)),
+            book: Mutex::new(DedupTable::new(instance, incarnation, limits)),
             bytes: AtomicUsize::new(0),
             bytes_max,
         }
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -83,7 +83,7 @@
     pub key: String,
 }
 
-/// Limits of a [`TicketBook`].
+/// Limits of a [`DedupTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TicketLimits {
     /// Tickets up to this many epochs old are accepted.
@@ -127,7 +127,7 @@
 ///
 /// `H` is the caller's handle to a running or finished answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct TicketBook<H> {
+pub struct DedupTable<H> {
     instance: String,
     incarnation: Uuid,
     epoch: u64,
@@ -159,7 +159,7 @@
     }
 }
 
-impl<H: Clone> TicketBook<H> {
+impl<H: Clone> DedupTable<H> {
     /// An empty memory for a new incarnation.
     #[must_use]
     pub fn new(instance: &str, incarnation: Uuid, limits: TicketLimits) -> Self {
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use larkwick::kernel::ticket::{Arrival, OnceKey, Ticket, TicketBook, TicketLimits};
+use larkwick::kernel::ticket::{Arrival, DedupTable, OnceKey, Ticket, TicketLimits};
 use uuid::Uuid;
 
 use super::search::{State, assert_caught, assert_safe};
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Tickets {
     mutant: Mutant,
-    books: [TicketBook<Reply>; INSTANCES],
+    books: [DedupTable<Reply>; INSTANCES],
     restarts: u8,
     /// Tickets the caller has used, the newest last.
     used: Vec<Ticket>,
@@ -61,13 +61,13 @@
     }
 }
 
-fn book(instance: usize, incarnation: u128) -> TicketBook<Reply> {
+fn book(instance: usize, incarnation: u128) -> DedupTable<Reply> {
     let limits = TicketLimits {
         accept_epochs: 1,
         remember_epochs: 2,
         capacity: 1,
     };
-    TicketBook::new(NAMES[instance], Uuid::from_u128(incarnation), limits)
+    DedupTable::new(NAMES[instance], Uuid::from_u128(incarnation), limits)
 }
 
 impl Tickets {
