--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -11,7 +11,7 @@
 use larkwick::kernel::object::{ClientAccount, Object};
 use larkwick::kernel::policy;
 use larkwick::kernel::rules::Catalog;
-use larkwick::kernel::ticket::{DedupTable, OnceKey, TicketLimits};
+use larkwick::kernel::ticket::{DedupTable, IdempotencyKey, TicketLimits};
 use larkwick::standin::platform::PlatformCore;
 use larkwick::{App, Settings, any_loopback_port, log_service};
 use rand::SeedableRng;
@@ -134,7 +134,7 @@
         let mut book = DedupTable::new("i", Uuid::nil(), limits);
         let ticket = book.ticket();
         let arrive_us = mean_us(requests, |index| {
-            let key = OnceKey {
+            let key = IdempotencyKey {
                 account: "account".to_owned(),
                 key: format!("request {index}"),
             };
--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -8,7 +8,7 @@
 
 use super::answer::RememberedAnswer;
 use crate::error::{Error, ErrorKind};
-use crate::kernel::ticket::{Arrival, DedupTable, OnceKey, Ticket, TicketLimits};
+use crate::kernel::ticket::{Arrival, DedupTable, IdempotencyKey, Ticket, TicketLimits};
 
 /// What to do with an arrival.
 pub enum OnceDecision {
@@ -75,7 +75,7 @@
     }
 
     /// Decides on an arrival.
-    pub fn arrive(&self, ticket: &Ticket, key: &OnceKey) -> OnceDecision {
+    pub fn arrive(&self, ticket: &Ticket, key: &IdempotencyKey) -> OnceDecision {
         let has_room = self.bytes() < self.bytes_max;
         let handle = Handle(Arc::default());
         let arrival = self.book.lock().arrive(ticket, key, handle, has_room);
@@ -104,7 +104,7 @@
     }
 
     /// Counts a whole answer and records whether the request did not run.
-    pub fn finished(&self, key: &OnceKey, answer: &RememberedAnswer) {
+    pub fn finished(&self, key: &IdempotencyKey, answer: &RememberedAnswer) {
         self.bytes.fetch_add(answer.size_bytes(), Ordering::Relaxed);
         if answer.is_not_run() {
             self.book.lock().record_not_run(key);
--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -11,7 +11,7 @@
 use super::request::{CallerRequest, RequestedWork};
 use super::service_call;
 use crate::error::{Error, ErrorKind};
-use crate::kernel::ticket::{OnceKey, Ticket};
+use crate::kernel::ticket::{IdempotencyKey, Ticket};
 use crate::peer::generated as wire;
 
 /// Starts a request and gives its answer.
@@ -40,7 +40,7 @@
         Ok(account) => account.name.clone(),
         Err(error) => return single(error),
     };
-    let once_key = OnceKey { account, key };
+    let once_key = IdempotencyKey { account, key };
     match node.once.arrive(&ticket, &once_key) {
         OnceDecision::Run(answer) => {
             tokio::spawn(run_once(node.clone(), request, once_key, answer.clone()));
@@ -59,7 +59,7 @@
 async fn run_once(
     node: Arc<Node>,
     request: CallerRequest,
-    key: OnceKey,
+    key: IdempotencyKey,
     answer: Arc<RememberedAnswer>,
 ) {
     run(
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -76,7 +76,7 @@
 
 /// Identity of a request marked not repeatable.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OnceKey {
+pub struct IdempotencyKey {
     /// Client account.
     pub account: String,
     /// The caller's `Idempotency-Key`.
@@ -149,7 +149,7 @@
 
 /// A map that hashes, so that the model checker can compare states.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Requests<H>(HashMap<OnceKey, Remembered<H>>);
+struct Requests<H>(HashMap<IdempotencyKey, Remembered<H>>);
 
 impl<H: std::hash::Hash> std::hash::Hash for Requests<H> {
     fn hash<S: std::hash::Hasher>(&self, state: &mut S) {
@@ -221,7 +221,7 @@
     pub fn arrive(
         &mut self,
         ticket: &Ticket,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         handle: H,
         has_room: bool,
     ) -> Arrival<H> {
@@ -261,7 +261,7 @@
     }
 
     /// Records that a request that got [`Arrival::Run`] was answered `not_run`.
-    pub fn record_not_run(&mut self, key: &OnceKey) {
+    pub fn record_not_run(&mut self, key: &IdempotencyKey) {
         if let Some(kept) = self.requests.0.get_mut(key) {
             kept.not_run = true;
         }
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use larkwick::kernel::ticket::{Arrival, DedupTable, OnceKey, Ticket, TicketLimits};
+use larkwick::kernel::ticket::{Arrival, DedupTable, IdempotencyKey, Ticket, TicketLimits};
 use uuid::Uuid;
 
 use super::search::{State, assert_caught, assert_safe};
@@ -54,8 +54,8 @@
     runs: Vec<u8>,
 }
 
-fn key(name: &str) -> OnceKey {
-    OnceKey {
+fn key(name: &str) -> IdempotencyKey {
+    IdempotencyKey {
         account: "account".to_owned(),
         key: name.to_owned(),
     }
