--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -8,7 +8,7 @@
 
 use super::answer::RememberedAnswer;
 use crate::error::{Error, ErrorKind};
-use crate::kernel::ticket::{Arrival, DedupTable, IdempotencyKey, Ticket, TicketLimits};
+use crate::kernel::ticket::{DedupDecision, DedupTable, IdempotencyKey, Ticket, TicketLimits};
 
 /// What to do with an arrival.
 pub enum OnceDecision {
@@ -81,22 +81,22 @@
         let arrival = self.book.lock().arrive(ticket, key, handle, has_room);
         let refuse = |kind, message: &str| OnceDecision::Refuse(Error::new(kind, message));
         match arrival {
-            Arrival::Run(handle) => OnceDecision::Run(handle.0),
-            Arrival::Join(handle) => OnceDecision::Join(handle.0),
-            Arrival::Relay => OnceDecision::Relay,
-            Arrival::Gone => refuse(
+            DedupDecision::Run(handle) => OnceDecision::Run(handle.0),
+            DedupDecision::Join(handle) => OnceDecision::Join(handle.0),
+            DedupDecision::Relay => OnceDecision::Relay,
+            DedupDecision::Gone => refuse(
                 ErrorKind::InstanceGone,
                 "the instance of this ticket was replaced; whether the request ran is unknown",
             ),
-            Arrival::Stale => refuse(
+            DedupDecision::Stale => refuse(
                 ErrorKind::TicketStale,
                 "the ticket is too old; take a new one from /v1/entries",
             ),
-            Arrival::Forgotten => refuse(
+            DedupDecision::Forgotten => refuse(
                 ErrorKind::TicketForgotten,
                 "the ticket is so old that it is unknown whether the request ran",
             ),
-            Arrival::Full => refuse(
+            DedupDecision::Full => refuse(
                 ErrorKind::OnceMemoryFull,
                 "too many requests are remembered here; take a new ticket for another instance",
             ),
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -106,7 +106,7 @@
 
 /// What to do with a request that carries a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Arrival<H> {
+pub enum DedupDecision<H> {
     /// First arrival: run it and record the answer through the handle.
     Run(H),
     /// Later arrival: wait for, or repeat, the answer of the first.
@@ -224,29 +224,29 @@
         key: &IdempotencyKey,
         handle: H,
         has_room: bool,
-    ) -> Arrival<H> {
+    ) -> DedupDecision<H> {
         if ticket.instance != self.instance {
-            return Arrival::Relay;
+            return DedupDecision::Relay;
         }
         if ticket.incarnation != self.incarnation {
-            return Arrival::Gone;
+            return DedupDecision::Gone;
         }
         let accepted = (self.first_accepted_epoch()..=self.epoch).contains(&ticket.epoch);
         if let Some(kept) = self.requests.0.get_mut(key) {
             let newer_after_not_run = kept.not_run && ticket.epoch > kept.epoch;
             kept.epoch = kept.epoch.max(ticket.epoch);
             if !(newer_after_not_run && accepted) {
-                return Arrival::Join(kept.handle.clone());
+                return DedupDecision::Join(kept.handle.clone());
             }
             kept.not_run = false;
             kept.handle = handle.clone();
-            return Arrival::Run(handle);
+            return DedupDecision::Run(handle);
         }
         if self.epoch.saturating_sub(ticket.epoch) > self.limits.remember_epochs {
-            return Arrival::Forgotten;
+            return DedupDecision::Forgotten;
         }
         if !accepted {
-            return Arrival::Stale;
+            return DedupDecision::Stale;
         }
         if !has_room || self.requests.0.len() >= self.limits.capacity {
             return self.refuse_full();
@@ -257,10 +257,10 @@
             handle: handle.clone(),
         };
         self.requests.0.insert(key.clone(), kept);
-        Arrival::Run(handle)
+        DedupDecision::Run(handle)
     }
 
-    /// Records that a request that got [`Arrival::Run`] was answered `not_run`.
+    /// Records that a request that got [`DedupDecision::Run`] was answered `not_run`.
     pub fn record_not_run(&mut self, key: &IdempotencyKey) {
         if let Some(kept) = self.requests.0.get_mut(key) {
             kept.not_run = true;
@@ -275,9 +275,9 @@
 
     /// The refused request cannot be remembered, so every ticket given out so far is refused from now on: otherwise a late
     /// copy could run after its caller was told that it did not.
-    fn refuse_full(&mut self) -> Arrival<H> {
+    fn refuse_full(&mut self) -> DedupDecision<H> {
         self.advance_epoch();
         self.refused_below_epoch = self.epoch;
-        Arrival::Full
+        DedupDecision::Full
     }
 }
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use larkwick::kernel::ticket::{Arrival, DedupTable, IdempotencyKey, Ticket, TicketLimits};
+use larkwick::kernel::ticket::{DedupDecision, DedupTable, IdempotencyKey, Ticket, TicketLimits};
 use uuid::Uuid;
 
 use super::search::{State, assert_caught, assert_safe};
@@ -120,7 +120,7 @@
         let answer = if refused { Reply::NotRun } else { Reply::Ran };
         let before = next.books[at].clone();
         let reply = match next.books[at].arrive(&shown, &key("request"), answer, true) {
-            Arrival::Run(answer) => {
+            DedupDecision::Run(answer) => {
                 if answer == Reply::Ran {
                     next.runs[ticket] += 1;
                 } else if mutant == Mutant::ForgetsNotRun {
@@ -130,18 +130,18 @@
                 }
                 answer
             }
-            Arrival::Join(answer) => answer,
+            DedupDecision::Join(answer) => answer,
             // The instance that the ticket names is asked; the reply, or its absence, comes from there.
-            Arrival::Relay => return self.send(ticket, 1 - at),
-            Arrival::Gone if mutant == Mutant::GoneIsNotRun => Reply::NotRun,
-            Arrival::Gone | Arrival::Forgotten => Reply::Unknown,
-            Arrival::Full => {
+            DedupDecision::Relay => return self.send(ticket, 1 - at),
+            DedupDecision::Gone if mutant == Mutant::GoneIsNotRun => Reply::NotRun,
+            DedupDecision::Gone | DedupDecision::Forgotten => Reply::Unknown,
+            DedupDecision::Full => {
                 if mutant == Mutant::FullAcceptsLater {
                     next.books[at] = before;
                 }
                 Reply::NotRun
             }
-            Arrival::Stale => Reply::NotRun,
+            DedupDecision::Stale => Reply::NotRun,
         };
         next.replies.insert((ticket, reply));
         next
