--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -84,7 +84,7 @@
             DedupDecision::Run(handle) => OnceDecision::Run(handle.0),
             DedupDecision::Join(handle) => OnceDecision::Join(handle.0),
             DedupDecision::Relay => OnceDecision::Relay,
-            DedupDecision::Gone => refuse(
+            DedupDecision::IncarnationGone => refuse(
                 ErrorKind::InstanceGone,
                 "the instance of this ticket was replaced; whether the request ran is unknown",
             ),
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -114,7 +114,7 @@
     /// The ticket names another instance: relay there.
     Relay,
     /// The ticket names an earlier incarnation of this instance: nobody knows whether it ran.
-    Gone,
+    IncarnationGone,
     /// Too old to run; the memory shows that it never ran and never will.
     Stale,
     /// Too old to remember.
@@ -229,7 +229,7 @@
             return DedupDecision::Relay;
         }
         if ticket.incarnation != self.incarnation {
-            return DedupDecision::Gone;
+            return DedupDecision::IncarnationGone;
         }
         let accepted = (self.first_accepted_epoch()..=self.epoch).contains(&ticket.epoch);
         if let Some(kept) = self.requests.0.get_mut(key) {
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -133,8 +133,8 @@
             DedupDecision::Join(answer) => answer,
             // The instance that the ticket names is asked; the reply, or its absence, comes from there.
             DedupDecision::Relay => return self.send(ticket, 1 - at),
-            DedupDecision::Gone if mutant == Mutant::GoneIsNotRun => Reply::NotRun,
-            DedupDecision::Gone | DedupDecision::Forgotten => Reply::Unknown,
+            DedupDecision::IncarnationGone if mutant == Mutant::GoneIsNotRun => Reply::NotRun,
+            DedupDecision::IncarnationGone | DedupDecision::Forgotten => Reply::Unknown,
             DedupDecision::Full => {
                 if mutant == Mutant::FullAcceptsLater {
                     next.books[at] = before;
