--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -138,7 +138,7 @@
                 account: "account".to_owned(),
                 key: format!("request {index}"),
             };
-            black_box(book.arrive(&ticket, &key, Arc::new(index), true));
+            black_box(book.admit(&ticket, &key, Arc::new(index), true));
         });
         let memory = (resident_kib() - before) * 1024 / i64::from(requests);
         let advance_us = mean_us(3, |_| book.advance_epoch());
--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -78,7 +78,7 @@
     pub fn arrive(&self, ticket: &Ticket, key: &IdempotencyKey) -> OnceDecision {
         let has_room = self.bytes() < self.bytes_max;
         let handle = Handle(Arc::default());
-        let arrival = self.book.lock().arrive(ticket, key, handle, has_room);
+        let arrival = self.book.lock().admit(ticket, key, handle, has_room);
         let refuse = |kind, message: &str| OnceDecision::Refuse(Error::new(kind, message));
         match arrival {
             DedupDecision::Run(handle) => OnceDecision::Run(handle.0),
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -218,7 +218,7 @@
     ///
     /// A request that was answered `not_run` stays remembered, since a late copy of it may still come: only a ticket of a later
     /// epoch may run it.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         ticket: &Ticket,
         key: &IdempotencyKey,
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -119,7 +119,7 @@
         }
         let answer = if refused { Reply::NotRun } else { Reply::Ran };
         let before = next.books[at].clone();
-        let reply = match next.books[at].arrive(&shown, &key("request"), answer, true) {
+        let reply = match next.books[at].admit(&shown, &key("request"), answer, true) {
             DedupDecision::Run(answer) => {
                 if answer == Reply::Ran {
                     next.runs[ticket] += 1;
@@ -164,7 +164,7 @@
     fn fill(&self, instance: usize) -> Self {
         let mut next = self.clone();
         let ticket = next.books[instance].ticket();
-        next.books[instance].arrive(&ticket, &key("other"), Reply::Ran, true);
+        next.books[instance].admit(&ticket, &key("other"), Reply::Ran, true);
         next
     }
 }
