--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -37,25 +37,25 @@
 /// The text is not a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a ticket; take one from /v1/entries")]
-pub struct NotATicket;
+pub struct ParseTicketError;
 
 impl FromStr for Ticket {
-    type Err = NotATicket;
+    type Err = ParseTicketError;
 
-    fn from_str(text: &str) -> Result<Self, NotATicket> {
+    fn from_str(text: &str) -> Result<Self, ParseTicketError> {
         let mut parts = text.split(SEPARATOR);
         let (Some(instance), Some(incarnation), Some(epoch), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(NotATicket);
+            return Err(ParseTicketError);
         };
         if !is_valid_name(instance) {
-            return Err(NotATicket);
+            return Err(ParseTicketError);
         }
         Ok(Self {
             instance: instance.to_owned(),
-            incarnation: incarnation.parse().map_err(|_| NotATicket)?,
-            epoch: epoch.parse().map_err(|_| NotATicket)?,
+            incarnation: incarnation.parse().map_err(|_| ParseTicketError)?,
+            epoch: epoch.parse().map_err(|_| ParseTicketError)?,
         })
     }
 }
@@ -67,9 +67,9 @@
 }
 
 impl TryFrom<String> for Ticket {
-    type Error = NotATicket;
+    type Error = ParseTicketError;
 
-    fn try_from(text: String) -> Result<Self, NotATicket> {
+    fn try_from(text: String) -> Result<Self, ParseTicketError> {
         text.parse()
     }
 }
