--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -189,7 +189,7 @@
 
     fn note_disagreements(&mut self, applied: &[Applied]) {
         let disagree = Applied::Snapshot {
-            agrees: Some(false),
+            digest_matches: Some(false),
         };
         let count = applied.iter().filter(|one| **one == disagree).count() as u64;
         if count > 0 {
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -156,10 +156,10 @@
     Copy,
     /// A claim; `true` where it took effect.
     Claim(bool),
-    /// A snapshot that the reader did not need; `agrees` is false where its digest differs from the reader's own.
+    /// A snapshot that the reader did not need; `digest_matches` is false where its digest differs from the reader's own.
     Snapshot {
         /// Whether the digests agree, where the reader still has its own for that offset.
-        agrees: Option<bool>,
+        digest_matches: Option<bool>,
     },
     /// A record that this version cannot read; skipped the same way everywhere.
     Unreadable,
@@ -374,7 +374,7 @@
             Some(Record::Publish(publish)) => self.apply_publish(offset, publish),
             Some(Record::Claim(claim)) => Applied::Claim(self.state.leases.apply(offset, claim)),
             Some(Record::Snapshot(snapshot)) => Applied::Snapshot {
-                agrees: self.agrees(snapshot),
+                digest_matches: self.digest_matches(snapshot),
             },
         };
         self.state.next_offset = offset + 1;
@@ -441,7 +441,7 @@
         }
     }
 
-    fn agrees(&self, snapshot: &Snapshot) -> Option<bool> {
+    fn digest_matches(&self, snapshot: &Snapshot) -> Option<bool> {
         if snapshot.state.next_offset == self.state.next_offset {
             return Some(self.state.digest() == snapshot.digest);
         }
--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -108,13 +108,18 @@
     let applied = fold
         .clone()
         .apply(Some(&Record::Snapshot(Box::new(forged.clone()))));
-    assert_eq!(applied, Applied::Snapshot { agrees: Some(true) });
+    assert_eq!(
+        applied,
+        Applied::Snapshot {
+            digest_matches: Some(true)
+        }
+    );
     forged.digest = "something else".to_owned();
     let applied = fold.apply(Some(&Record::Snapshot(Box::new(forged))));
     assert_eq!(
         applied,
         Applied::Snapshot {
-            agrees: Some(false)
+            digest_matches: Some(false)
         }
     );
 }
