--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -159,7 +159,10 @@
         inner.note_snapshots(&records, now);
     }
     inner.note_disagreements(&applied);
-    let changed = jumped || applied.iter().any(|one| matches!(one, Applied::Decided(_)));
+    let changed = jumped
+        || applied
+            .iter()
+            .any(|one| matches!(one, Applied::PublishDecided(_)));
     let catalog = changed.then(|| Catalog::new(inner.fold.state()));
     drop(inner);
     install(node, catalog);
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -151,9 +151,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
     /// A publish was decided for the first time.
-    Decided(Verdict),
+    PublishDecided(Verdict),
     /// A second copy of a publish; nothing changed.
-    Copy,
+    DuplicatePublish,
     /// A claim; `true` where it took effect.
     Claim(bool),
     /// A snapshot that the reader did not need; `digest_matches` is false where its digest differs from the reader's own.
@@ -384,7 +384,7 @@
 
     fn apply_publish(&mut self, offset: u64, publish: &Publish) -> Applied {
         if self.state.decided.contains_key(&publish.publish_id) {
-            return Applied::Copy;
+            return Applied::DuplicatePublish;
         }
         let verdict = self.state.decide(offset, publish, self.window_offsets);
         if verdict == Verdict::Accepted {
@@ -397,7 +397,7 @@
             keys: publish.changes.iter().map(|c| c.action.key()).collect(),
         };
         self.state.decided.insert(publish.publish_id, decided);
-        Applied::Decided(verdict)
+        Applied::PublishDecided(verdict)
     }
 
     /// Takes a snapshot's state where that is safe: it is intact, ahead of this state, and no record between it and the first
--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -35,7 +35,7 @@
         changes,
     });
     match fold.apply(Some(&record)) {
-        Applied::Decided(verdict) => verdict,
+        Applied::PublishDecided(verdict) => verdict,
         other => panic!("{other:?}"),
     }
 }
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -269,7 +269,7 @@
             let ids = [index as u128 + 1, 100 + index as u128].map(Uuid::from_u128);
             let accepted = self.log.iter().zip(&applied).filter(|(record, did)| {
                 let its = matches!(&***record, Record::Publish(publish) if ids.contains(&publish.publish_id));
-                its && **did == Applied::Decided(Verdict::Accepted)
+                its && **did == Applied::PublishDecided(Verdict::Accepted)
             });
             if accepted.count() > 1 {
                 return Some("one publish took effect twice");
