--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -10,7 +10,7 @@
 use spdlog::{info, warn};
 
 use super::node::Node;
-use crate::kernel::config::{Applied, ConfigFold, ConfigState, LogRead, Record};
+use crate::kernel::config::{ConfigFold, ConfigState, LogRead, Record, RecordEffect};
 use crate::kernel::lease::Held;
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::rules::Catalog;
@@ -162,7 +162,7 @@
     let changed = jumped
         || applied
             .iter()
-            .any(|one| matches!(one, Applied::PublishDecided(_)));
+            .any(|one| matches!(one, RecordEffect::PublishDecided(_)));
     let catalog = changed.then(|| Catalog::new(inner.fold.state()));
     drop(inner);
     install(node, catalog);
@@ -190,8 +190,8 @@
         }
     }
 
-    fn note_disagreements(&mut self, applied: &[Applied]) {
-        let disagree = Applied::Snapshot {
+    fn note_disagreements(&mut self, applied: &[RecordEffect]) {
+        let disagree = RecordEffect::Snapshot {
             digest_matches: Some(false),
         };
         let count = applied.iter().filter(|one| **one == disagree).count() as u64;
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -149,7 +149,7 @@
 
 /// What applying a record did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum RecordEffect {
     /// A publish was decided for the first time.
     PublishDecided(Verdict),
     /// A second copy of a publish; nothing changed.
@@ -367,13 +367,15 @@
     }
 
     /// Applies the record at `state().next_offset`. `None` stands for a record that cannot be read.
-    pub fn apply(&mut self, record: Option<&Record>) -> Applied {
+    pub fn apply(&mut self, record: Option<&Record>) -> RecordEffect {
         let offset = self.state.next_offset;
         let applied = match record {
-            None => Applied::Unreadable,
+            None => RecordEffect::Unreadable,
             Some(Record::Publish(publish)) => self.apply_publish(offset, publish),
-            Some(Record::Claim(claim)) => Applied::Claim(self.state.leases.apply(offset, claim)),
-            Some(Record::Snapshot(snapshot)) => Applied::Snapshot {
+            Some(Record::Claim(claim)) => {
+                RecordEffect::Claim(self.state.leases.apply(offset, claim))
+            }
+            Some(Record::Snapshot(snapshot)) => RecordEffect::Snapshot {
                 digest_matches: self.digest_matches(snapshot),
             },
         };
@@ -382,9 +384,9 @@
         applied
     }
 
-    fn apply_publish(&mut self, offset: u64, publish: &Publish) -> Applied {
+    fn apply_publish(&mut self, offset: u64, publish: &Publish) -> RecordEffect {
         if self.state.decided.contains_key(&publish.publish_id) {
-            return Applied::DuplicatePublish;
+            return RecordEffect::DuplicatePublish;
         }
         let verdict = self.state.decide(offset, publish, self.window_offsets);
         if verdict == Verdict::Accepted {
@@ -397,7 +399,7 @@
             keys: publish.changes.iter().map(|c| c.action.key()).collect(),
         };
         self.state.decided.insert(publish.publish_id, decided);
-        Applied::PublishDecided(verdict)
+        RecordEffect::PublishDecided(verdict)
     }
 
     /// Takes a snapshot's state where that is safe: it is intact, ahead of this state, and no record between it and the first
@@ -456,7 +458,7 @@
     ///
     /// # Errors
     /// Records are missing and no snapshot among those at hand closes the gap; the state is unchanged.
-    pub fn catch_up(&mut self, read: &LogRead<'_>) -> Result<Vec<Applied>, Gap> {
+    pub fn catch_up(&mut self, read: &LogRead<'_>) -> Result<Vec<RecordEffect>, Gap> {
         if self.state.next_offset < read.first_offset {
             let snapshots = read.records.iter().rev().filter_map(|record| match record {
                 Some(Record::Snapshot(snapshot)) => Some(snapshot),
--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -1,7 +1,7 @@
 //! The configuration fold's verdicts.
 
 use larkwick::kernel::config::{
-    Applied, Change, ChangeAction, ConfigFold, Publish, Record, Verdict,
+    Change, ChangeAction, ConfigFold, Publish, Record, RecordEffect, Verdict,
 };
 use larkwick::kernel::object::ObjectKey;
 use larkwick::tool::check::parse_objects;
@@ -35,7 +35,7 @@
         changes,
     });
     match fold.apply(Some(&record)) {
-        Applied::PublishDecided(verdict) => verdict,
+        RecordEffect::PublishDecided(verdict) => verdict,
         other => panic!("{other:?}"),
     }
 }
@@ -110,7 +110,7 @@
         .apply(Some(&Record::Snapshot(Box::new(forged.clone()))));
     assert_eq!(
         applied,
-        Applied::Snapshot {
+        RecordEffect::Snapshot {
             digest_matches: Some(true)
         }
     );
@@ -118,7 +118,7 @@
     let applied = fold.apply(Some(&Record::Snapshot(Box::new(forged))));
     assert_eq!(
         applied,
-        Applied::Snapshot {
+        RecordEffect::Snapshot {
             digest_matches: Some(false)
         }
     );
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use larkwick::kernel::config::{
-    Applied, Change, ChangeAction, ConfigFold, ConfigState, LogRead, Publish, Record, Verdict,
+    Change, ChangeAction, ConfigFold, ConfigState, LogRead, Publish, Record, RecordEffect, Verdict,
 };
 use larkwick::kernel::object::{Hall, Object, ObjectKey, ObjectKind};
 use uuid::Uuid;
@@ -95,7 +95,7 @@
     }
 
     /// The fold of the whole log up to an offset, with what each record did.
-    fn reference(&self, until: usize) -> (ConfigState, Vec<Applied>) {
+    fn reference(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
         let mut fold = ConfigFold::default().with_window(WINDOW);
         let applied = self.log[..until]
             .iter()
@@ -269,7 +269,7 @@
             let ids = [index as u128 + 1, 100 + index as u128].map(Uuid::from_u128);
             let accepted = self.log.iter().zip(&applied).filter(|(record, did)| {
                 let its = matches!(&***record, Record::Publish(publish) if ids.contains(&publish.publish_id));
-                its && **did == Applied::PublishDecided(Verdict::Accepted)
+                its && **did == RecordEffect::PublishDecided(Verdict::Accepted)
             });
             if accepted.count() > 1 {
                 return Some("one publish took effect twice");
