--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -109,7 +109,7 @@
 
 /// A publish that was decided, for the history and for second copies.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Decided {
+pub struct PublishDecision {
     /// Offset of the first copy.
     pub offset: u64,
     /// The decision.
@@ -130,7 +130,7 @@
     /// Deleted objects, with the revision of their deletion; kept for [`BASE_WINDOW_OFFSETS`].
     pub tombstones: BTreeMap<ObjectKey, u64>,
     /// Publishes decided within [`BASE_WINDOW_OFFSETS`].
-    pub decided: BTreeMap<Uuid, Decided>,
+    pub decided: BTreeMap<Uuid, PublishDecision>,
     /// Claims in force.
     #[serde(default)]
     pub leases: LeaseFold,
@@ -392,7 +392,7 @@
         if verdict == Verdict::Accepted {
             self.state.commit(offset, publish);
         }
-        let decided = Decided {
+        let decided = PublishDecision {
             offset,
             verdict: verdict.clone(),
             publisher: publish.publisher.clone(),
