--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -184,7 +184,7 @@
 /// Why records cannot be applied to the state at hand.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("records {have} to {first_kept} have expired and no usable snapshot was found")]
-pub struct Gap {
+pub struct LogGap {
     /// Next offset this state needs.
     pub have: u64,
     /// First offset the log still has.
@@ -458,7 +458,7 @@
     ///
     /// # Errors
     /// Records are missing and no snapshot among those at hand closes the gap; the state is unchanged.
-    pub fn catch_up(&mut self, read: &LogRead<'_>) -> Result<Vec<RecordEffect>, Gap> {
+    pub fn catch_up(&mut self, read: &LogRead<'_>) -> Result<Vec<RecordEffect>, LogGap> {
         if self.state.next_offset < read.first_offset {
             let snapshots = read.records.iter().rev().filter_map(|record| match record {
                 Some(Record::Snapshot(snapshot)) => Some(snapshot),
@@ -471,7 +471,7 @@
             }
         }
         if self.state.next_offset < read.first_offset {
-            return Err(Gap {
+            return Err(LogGap {
                 have: self.state.next_offset,
                 first_kept: read.first_offset,
             });
