--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -258,7 +258,7 @@
         .map_err(|error| tonic::Status::data_loss(error.to_string()))?;
     let catalog = {
         let mut inner = node.config.inner.lock();
-        if !inner.fold.adopt_from_peer(state) {
+        if !inner.fold.install_peer_state(state) {
             return Ok(());
         }
         inner.recent.clear();
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -404,7 +404,7 @@
 
     /// Takes a snapshot's state where that is safe: it is intact, ahead of this state, and no record between it and the first
     /// one kept is missing.
-    pub fn adopt(&mut self, snapshot: &Snapshot, first_kept: u64) -> bool {
+    pub fn install_snapshot(&mut self, snapshot: &Snapshot, first_kept: u64) -> bool {
         let intact = snapshot.state.digest() == snapshot.digest;
         let ahead = snapshot.state.next_offset > self.state.next_offset;
         let complete = snapshot.state.next_offset >= first_kept;
@@ -417,7 +417,7 @@
     }
 
     /// Takes a peer's state where it is ahead.
-    pub fn adopt_from_peer(&mut self, state: ConfigState) -> bool {
+    pub fn install_peer_state(&mut self, state: ConfigState) -> bool {
         if state.next_offset <= self.state.next_offset {
             return false;
         }
@@ -465,7 +465,7 @@
                 _ => None,
             });
             for snapshot in snapshots {
-                if self.adopt(snapshot, read.first_offset) {
+                if self.install_snapshot(snapshot, read.first_offset) {
                     break;
                 }
             }
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -179,7 +179,7 @@
         if behind && self.mutant == Mutant::AdoptsIncomplete {
             for record in kept.iter().flatten() {
                 if let Record::Snapshot(snapshot) = record {
-                    fold.adopt(snapshot, 0);
+                    fold.install_snapshot(snapshot, 0);
                 }
             }
             let mut skipped = fold.state().clone();
@@ -203,7 +203,7 @@
             return self.with_state(reader, theirs);
         }
         let mut fold = fold_of(&self.states[reader]);
-        fold.adopt_from_peer(theirs);
+        fold.install_peer_state(theirs);
         self.with_state(reader, fold.state().clone())
     }
 
