--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -345,7 +345,7 @@
 impl ConfigFold {
     /// The same fold with another window, for the model.
     #[must_use]
-    pub fn with_window(mut self, window_offsets: u64) -> Self {
+    pub fn with_base_window(mut self, window_offsets: u64) -> Self {
         self.window_offsets = window_offsets;
         self
     }
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -78,7 +78,7 @@
 }
 
 fn fold_of(state: &ConfigState) -> ConfigFold {
-    ConfigFold::from_state(state.clone()).with_window(WINDOW)
+    ConfigFold::from_state(state.clone()).with_base_window(WINDOW)
 }
 
 impl Fold {
@@ -96,7 +96,7 @@
 
     /// The fold of the whole log up to an offset, with what each record did.
     fn reference(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
-        let mut fold = ConfigFold::default().with_window(WINDOW);
+        let mut fold = ConfigFold::default().with_base_window(WINDOW);
         let applied = self.log[..until]
             .iter()
             .map(|record| fold.apply(Some(record)))
