--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -15,7 +15,7 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::clock::millis;
 use crate::kernel::group::{
-    Decision, Grant, GroupLedger, GroupLimits, GroupSummary, Lapsed, ReserveRequest, Settled,
+    Decision, Grant, GroupLedger, GroupLimits, GroupSummary, Lapsed, QueueDecision, ReserveRequest,
 };
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
@@ -115,7 +115,7 @@
 
 impl Group {
     /// Wakes the requests that waited. What was granted to one that went away is released.
-    fn answer(&self, settled: Vec<Settled>) {
+    fn answer(&self, settled: Vec<QueueDecision>) {
         for one in settled {
             let waiter = self.waiters.lock().remove(&one.reservation_id);
             let taken = waiter.is_some_and(|waiter| waiter.send(one.result).is_ok());
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -84,7 +84,7 @@
 
 /// A decision on a request that waited.
 #[derive(Debug, Clone)]
-pub struct Settled {
+pub struct QueueDecision {
     /// The reservation.
     pub reservation_id: Uuid,
     /// Place or error.
@@ -467,7 +467,7 @@
     }
 
     /// Decides on waiting requests: by priority, then the account that used least for its share, then deadline.
-    pub fn settle(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<Settled> {
+    pub fn settle(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<QueueDecision> {
         self.usage.decay(now);
         let mut settled = Vec::new();
         let mut blocked = HashSet::new();
@@ -475,7 +475,7 @@
         for waiting in self.take_ranked() {
             if let Some(grant) = self.place(&waiting.request, now, random, &blocked) {
                 self.pace.count(now);
-                settled.push(Settled {
+                settled.push(QueueDecision {
                     reservation_id: waiting.request.reservation_id,
                     result: Ok(grant),
                 });
@@ -483,7 +483,7 @@
             }
             if now >= waiting.deadline || still_waiting.len() >= self.limits.queue_length {
                 let wait = self.pace.expected_wait(still_waiting.len());
-                settled.push(Settled {
+                settled.push(QueueDecision {
                     reservation_id: waiting.request.reservation_id,
                     result: Err(crowded(wait)),
                 });
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use larkwick::error::ErrorKind;
-use larkwick::kernel::group::{Decision, GroupLedger, GroupLimits, ReserveRequest, Settled};
+use larkwick::kernel::group::{Decision, GroupLedger, GroupLimits, QueueDecision, ReserveRequest};
 use larkwick::kernel::policy::{self, LoadReport};
 use larkwick::kernel::retry::RetryBudget;
 use rand::SeedableRng;
@@ -50,13 +50,13 @@
     ledger.reserve(request, Duration::from_secs(at_s), &mut random())
 }
 
-fn settle(ledger: &mut GroupLedger, at_ms: u64) -> Vec<Settled> {
+fn settle(ledger: &mut GroupLedger, at_ms: u64) -> Vec<QueueDecision> {
     let now = Duration::from_millis(at_ms);
     ledger.recount(now);
     ledger.settle(now, &mut random())
 }
 
-fn granted(settled: &[Settled]) -> Vec<u128> {
+fn granted(settled: &[QueueDecision]) -> Vec<u128> {
     let granted = settled.iter().filter(|one| one.result.is_ok());
     granted.map(|one| one.reservation_id.as_u128()).collect()
 }
