--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -178,7 +178,7 @@
         });
         let recount_us = mean_us(50, |_| ledger.recount(now));
         let settle_us = mean_us(50, |_| {
-            black_box(ledger.settle(now, &mut random));
+            black_box(ledger.process_queue(now, &mut random));
         });
         println!("| {streams} | {reserve_us:.1} | {recount_us:.0} | {settle_us:.1} |");
     }
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -386,7 +386,7 @@
             if due || (dirty && ledger.has_waiting()) {
                 ledger.recount(now);
             }
-            let settled = ledger.settle(now, &mut rand::rng());
+            let settled = ledger.process_queue(now, &mut rand::rng());
             (settled, lapsed)
         };
         group.answer(settled);
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -76,7 +76,7 @@
 pub enum Decision {
     /// A place is reserved.
     Granted(Grant),
-    /// It waits; [`GroupLedger::settle`] will decide.
+    /// It waits; [`GroupLedger::process_queue`] will decide.
     Queued,
     /// Final.
     Refused(Error),
@@ -437,7 +437,7 @@
             .retain(|waiting| waiting.request.reservation_id != reservation_id);
     }
 
-    /// Re-estimates every stream as of `now`. To be called after progress and release, before [`Self::settle`].
+    /// Re-estimates every stream as of `now`. To be called after progress and release, before [`Self::process_queue`].
     pub fn recount(&mut self, now: Duration) {
         for place in self.places.values_mut() {
             place.in_flight = InFlight::default();
@@ -467,7 +467,7 @@
     }
 
     /// Decides on waiting requests: by priority, then the account that used least for its share, then deadline.
-    pub fn settle(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<QueueDecision> {
+    pub fn process_queue(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<QueueDecision> {
         self.usage.decay(now);
         let mut settled = Vec::new();
         let mut blocked = HashSet::new();
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -50,10 +50,10 @@
     ledger.reserve(request, Duration::from_secs(at_s), &mut random())
 }
 
-fn settle(ledger: &mut GroupLedger, at_ms: u64) -> Vec<QueueDecision> {
+fn process_queue(ledger: &mut GroupLedger, at_ms: u64) -> Vec<QueueDecision> {
     let now = Duration::from_millis(at_ms);
     ledger.recount(now);
-    ledger.settle(now, &mut random())
+    ledger.process_queue(now, &mut random())
 }
 
 fn granted(settled: &[QueueDecision]) -> Vec<u128> {
@@ -82,9 +82,9 @@
         reserve(&mut ledger, &request(2, "a", 0), 1),
         Decision::Queued
     ));
-    assert!(settle(&mut ledger, 1_100).is_empty());
+    assert!(process_queue(&mut ledger, 1_100).is_empty());
     ledger.release(Uuid::from_u128(1));
-    assert_eq!(granted(&settle(&mut ledger, 1_200)), [2]);
+    assert_eq!(granted(&process_queue(&mut ledger, 1_200)), [2]);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     reserve(&mut ledger, &request(4, "greedy", 9), 1);
     for (release, next) in [(1, 4), (4, 3), (3, 2)] {
         ledger.release(Uuid::from_u128(release));
-        assert_eq!(granted(&settle(&mut ledger, 1_200)), [next]);
+        assert_eq!(granted(&process_queue(&mut ledger, 1_200)), [next]);
     }
 }
 
@@ -131,8 +131,8 @@
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
     reserve(&mut ledger, &request(2, "a", 0), 1);
-    assert!(settle(&mut ledger, 5_900).is_empty());
-    let settled = settle(&mut ledger, 6_000);
+    assert!(process_queue(&mut ledger, 5_900).is_empty());
+    let settled = process_queue(&mut ledger, 6_000);
     let refused = settled[0].result.as_ref().expect_err("the wait is over");
     assert_eq!(refused.kind, ErrorKind::Crowded);
 }
@@ -229,7 +229,7 @@
         ledger.progress(Uuid::from_u128(id), 20, None, Duration::from_secs(2));
         ledger.finished(Uuid::from_u128(id), 20);
         ledger.release(Uuid::from_u128(id));
-        settle(&mut ledger, 2_000);
+        process_queue(&mut ledger, 2_000);
     }
     let places = (1_000..1_020).filter(|id| {
         matches!(
