--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -176,7 +176,7 @@
         let reserve_us = mean_us(streams, |index| {
             black_box(ledger.reserve(&request(index), now, &mut random));
         });
-        let recount_us = mean_us(50, |_| ledger.recount(now));
+        let recount_us = mean_us(50, |_| ledger.refresh_in_flight(now));
         let settle_us = mean_us(50, |_| {
             black_box(ledger.process_queue(now, &mut random));
         });
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -384,7 +384,7 @@
             let mut ledger = group.ledger.lock();
             let lapsed = ledger.expire(now);
             if due || (dirty && ledger.has_waiting()) {
-                ledger.recount(now);
+                ledger.refresh_in_flight(now);
             }
             let settled = ledger.process_queue(now, &mut rand::rng());
             (settled, lapsed)
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -438,7 +438,7 @@
     }
 
     /// Re-estimates every stream as of `now`. To be called after progress and release, before [`Self::process_queue`].
-    pub fn recount(&mut self, now: Duration) {
+    pub fn refresh_in_flight(&mut self, now: Duration) {
         for place in self.places.values_mut() {
             place.in_flight = InFlight::default();
         }
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -52,7 +52,7 @@
 
 fn process_queue(ledger: &mut GroupLedger, at_ms: u64) -> Vec<QueueDecision> {
     let now = Duration::from_millis(at_ms);
-    ledger.recount(now);
+    ledger.refresh_in_flight(now);
     ledger.process_queue(now, &mut random())
 }
 
