--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -15,7 +15,8 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::clock::millis;
 use crate::kernel::group::{
-    Decision, Grant, GroupLedger, GroupLimits, GroupSummary, Lapsed, QueueDecision, ReserveRequest,
+    Decision, ExpiredReservation, Grant, GroupLedger, GroupLimits, GroupSummary, QueueDecision,
+    ReserveRequest,
 };
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
@@ -371,7 +372,7 @@
             .store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
-    fn settle_group(&self, group: &Group) -> Vec<Lapsed> {
+    fn settle_group(&self, group: &Group) -> Vec<ExpiredReservation> {
         let now = self.now();
         let dirty = group
             .dirty
@@ -382,7 +383,7 @@
         }
         let (settled, lapsed) = {
             let mut ledger = group.ledger.lock();
-            let lapsed = ledger.expire(now);
+            let lapsed = ledger.expire_reservations(now);
             if due || (dirty && ledger.has_waiting()) {
                 ledger.refresh_in_flight(now);
             }
@@ -394,7 +395,7 @@
     }
 
     /// Cancels what a silent entry left behind, unless its caller reads it through another entry.
-    async fn cancel_lapsed(self: Arc<Self>, lapsed: Lapsed) {
+    async fn cancel_lapsed(self: Arc<Self>, lapsed: ExpiredReservation) {
         info!("reservation lapsed", kv: { endpoint = lapsed.endpoint.as_str() });
         metrics::counter!("larkwick_reservations_lapsed_total").increment(1);
         tokio::time::sleep(ms(self.settings.times.resume_ms)).await;
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -93,7 +93,7 @@
 
 /// A reservation that lapsed because its entry went silent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lapsed {
+pub struct ExpiredReservation {
     /// Endpoint.
     pub endpoint: String,
     /// The generation there, where the entry had named it.
@@ -518,7 +518,7 @@
     }
 
     /// Drops reservations whose entry went silent, and endpoints that are not in the group any more.
-    pub fn expire(&mut self, now: Duration) -> Vec<Lapsed> {
+    pub fn expire_reservations(&mut self, now: Duration) -> Vec<ExpiredReservation> {
         let ttl = self.limits.reservation_ttl;
         let silent: Vec<Uuid> = self
             .streams
@@ -529,7 +529,7 @@
         silent
             .iter()
             .filter_map(|id| self.streams.remove(id))
-            .map(|stream| Lapsed {
+            .map(|stream| ExpiredReservation {
                 endpoint: stream.endpoint,
                 generation: stream.generation,
             })
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -176,8 +176,12 @@
         Some("e1~x~1"),
         Duration::from_secs(2),
     );
-    assert!(ledger.expire(Duration::from_secs(12)).is_empty());
-    let lapsed = ledger.expire(Duration::from_millis(12_001));
+    assert!(
+        ledger
+            .expire_reservations(Duration::from_secs(12))
+            .is_empty()
+    );
+    let lapsed = ledger.expire_reservations(Duration::from_millis(12_001));
     assert_eq!(lapsed[0].generation.as_deref(), Some("e1~x~1"));
     assert_eq!(ledger.summary().streams, 0);
 }
