--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -102,14 +102,14 @@
     /// Takes a load report.
     pub(crate) fn report(&self, endpoint: &str, report: &LoadReport) {
         for (_, group) in self.all() {
-            group.ledger.lock().report(endpoint, report);
+            group.ledger.lock().record_load_report(endpoint, report);
         }
     }
 
     /// Takes a cache event.
     pub(crate) fn cached(&self, endpoint: &str, prefix: u64) {
         for (_, group) in self.all() {
-            group.ledger.lock().cached(endpoint, prefix);
+            group.ledger.lock().record_cached_prefix(endpoint, prefix);
         }
     }
 }
@@ -359,9 +359,9 @@
         let generation = Some(progress.generation.as_str()).filter(|text| !text.is_empty());
         {
             let mut ledger = group.ledger.lock();
-            ledger.progress(id, progress.made_tokens, generation, now);
+            ledger.record_progress(id, progress.made_tokens, generation, now);
             if progress.finished {
-                ledger.finished(id, progress.made_tokens);
+                ledger.record_output_length(id, progress.made_tokens);
             }
             if progress.released {
                 ledger.release(id);
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -237,7 +237,7 @@
     }
 
     /// Takes an endpoint's lagging report. Preemptions seen lower its fill limit; waiting requests raise it.
-    pub fn report(&mut self, endpoint: &str, report: &LoadReport) {
+    pub fn record_load_report(&mut self, endpoint: &str, report: &LoadReport) {
         let crowded = !self.waiting.is_empty();
         let Some(place) = self.places.get_mut(endpoint) else {
             return;
@@ -257,7 +257,7 @@
     }
 
     /// Takes an endpoint's cache event: it holds this prefix.
-    pub fn cached(&mut self, endpoint: &str, prefix: u64) {
+    pub fn record_cached_prefix(&mut self, endpoint: &str, prefix: u64) {
         let Some(place) = self.places.get_mut(endpoint) else {
             return;
         };
@@ -338,7 +338,7 @@
         let endpoint = candidates[chosen].name.to_owned();
         let place = self.places.get_mut(&endpoint)?;
         place.in_flight.add(&size);
-        self.cached(&endpoint, request.prefix);
+        self.record_cached_prefix(&endpoint, request.prefix);
         self.usage
             .charge(&request.account, request.share, request.prompt_tokens);
         let granted = grant(request.reservation_id, &endpoint);
@@ -401,7 +401,7 @@
     }
 
     /// Takes a stream's progress from its entry.
-    pub fn progress(
+    pub fn record_progress(
         &mut self,
         reservation_id: Uuid,
         made_tokens: u32,
@@ -422,7 +422,7 @@
     }
 
     /// Counts the length of a generation that reached its end.
-    pub fn finished(&mut self, reservation_id: Uuid, length_tokens: u32) {
+    pub fn record_output_length(&mut self, reservation_id: Uuid, length_tokens: u32) {
         if let Some(stream) = self.streams.get(&reservation_id) {
             let request = &stream.request;
             self.estimates
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -170,7 +170,7 @@
 fn expire_silent_entry_lapses_and_names_generation() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
-    ledger.progress(
+    ledger.record_progress(
         Uuid::from_u128(1),
         5,
         Some("e1~x~1"),
@@ -213,12 +213,12 @@
 fn report_preemptions_lower_the_fill_limit() {
     let mut ledger = ledger("profile");
     let fill_limit = |ledger: &GroupLedger| ledger.summary().places[0].fill_limit;
-    ledger.report("e1", &report(0));
+    ledger.record_load_report("e1", &report(0));
     let before = fill_limit(&ledger);
-    ledger.report("e1", &report(3));
+    ledger.record_load_report("e1", &report(3));
     let after = fill_limit(&ledger);
     assert!(after < before, "{after} {before}");
-    ledger.report("e1", &report(3));
+    ledger.record_load_report("e1", &report(3));
     assert!(
         fill_limit(&ledger) >= after,
         "no further preemption, no further decrease"
@@ -230,8 +230,8 @@
     let mut ledger = ledger("profile");
     for id in 1..200 {
         reserve(&mut ledger, &request(id, "a", 0), 1);
-        ledger.progress(Uuid::from_u128(id), 20, None, Duration::from_secs(2));
-        ledger.finished(Uuid::from_u128(id), 20);
+        ledger.record_progress(Uuid::from_u128(id), 20, None, Duration::from_secs(2));
+        ledger.record_output_length(Uuid::from_u128(id), 20);
         ledger.release(Uuid::from_u128(id));
         process_queue(&mut ledger, 2_000);
     }
