--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -187,12 +187,13 @@
     /// Requests waiting.
     pub waiting: usize,
     /// Per endpoint.
-    pub places: Vec<PlaceSummary>,
+    #[serde(rename = "places")]
+    pub endpoints: Vec<EndpointSummary>,
 }
 
 /// One endpoint in [`GroupSummary`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PlaceSummary {
+pub struct EndpointSummary {
     /// Name.
     pub endpoint: String,
     /// Streams granted.
@@ -549,7 +550,7 @@
     /// Counts for the dump.
     #[must_use]
     pub fn summary(&self) -> GroupSummary {
-        let places = self.places.iter().map(|(name, place)| PlaceSummary {
+        let endpoints = self.places.iter().map(|(name, place)| EndpointSummary {
             endpoint: name.clone(),
             streams: place.in_flight.streams,
             held_tokens: place.in_flight.held_tokens,
@@ -559,7 +560,7 @@
         GroupSummary {
             streams: self.streams.len(),
             waiting: self.waiting.len(),
-            places: places.collect(),
+            endpoints: endpoints.collect(),
         }
     }
 }
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -212,7 +212,7 @@
 #[test]
 fn report_preemptions_lower_the_fill_limit() {
     let mut ledger = ledger("profile");
-    let fill_limit = |ledger: &GroupLedger| ledger.summary().places[0].fill_limit;
+    let fill_limit = |ledger: &GroupLedger| ledger.summary().endpoints[0].fill_limit;
     ledger.record_load_report("e1", &report(0));
     let before = fill_limit(&ledger);
     ledger.record_load_report("e1", &report(3));
