--- a/src/kernel/fairness.rs
+++ b/src/kernel/fairness.rs
@@ -50,13 +50,13 @@
 
 /// Smoothed time between grants to requests that waited.
 #[derive(Debug)]
-pub struct GrantPace {
+pub struct QueueWaitEstimator {
     interval: Duration,
     interval_max: Duration,
     last_grant: Duration,
 }
 
-impl GrantPace {
+impl QueueWaitEstimator {
     /// A pace that has seen nothing; intervals count as `interval_max` at most.
     #[must_use]
     pub fn new(interval_max: Duration) -> Self {
@@ -75,7 +75,7 @@
     }
 
     /// Counts a grant.
-    pub fn count(&mut self, now: Duration) {
+    pub fn record_grant(&mut self, now: Duration) {
         let since = now.saturating_sub(self.last_grant).min(self.interval_max);
         self.last_grant = now;
         let smoothed = self.interval.as_secs_f64() * (1.0 - NEWEST_WEIGHT)
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -8,7 +8,7 @@
 use uuid::Uuid;
 
 use super::estimate::Estimates;
-use super::fairness::{GrantPace, Usage};
+use super::fairness::{QueueWaitEstimator, Usage};
 use super::policy::{
     Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
 };
@@ -176,7 +176,7 @@
     streams: HashMap<Uuid, Stream>,
     waiting: Vec<Waiting>,
     usage: Usage,
-    pace: GrantPace,
+    wait_estimator: QueueWaitEstimator,
 }
 
 /// Counts for the dump and metrics.
@@ -218,7 +218,7 @@
             streams: HashMap::new(),
             waiting: Vec::new(),
             usage: Usage::default(),
-            pace: GrantPace::new(limits.queue_wait),
+            wait_estimator: QueueWaitEstimator::new(limits.queue_wait),
         }
     }
 
@@ -370,7 +370,7 @@
 
     fn enqueue(&mut self, request: &ReserveRequest, now: Duration) -> Decision {
         let ahead = self.count_ahead(request);
-        let wait = self.pace.expected_wait(ahead);
+        let wait = self.wait_estimator.expected_wait(ahead);
         if request.deadline.is_zero() {
             return Decision::Refused(crowded(wait));
         }
@@ -475,7 +475,7 @@
         let mut still_waiting = Vec::new();
         for waiting in self.take_ranked() {
             if let Some(grant) = self.place(&waiting.request, now, random, &blocked) {
-                self.pace.count(now);
+                self.wait_estimator.record_grant(now);
                 settled.push(QueueDecision {
                     reservation_id: waiting.request.reservation_id,
                     result: Ok(grant),
@@ -483,7 +483,7 @@
                 continue;
             }
             if now >= waiting.deadline || still_waiting.len() >= self.limits.queue_length {
-                let wait = self.pace.expected_wait(still_waiting.len());
+                let wait = self.wait_estimator.expected_wait(still_waiting.len());
                 settled.push(QueueDecision {
                     reservation_id: waiting.request.reservation_id,
                     result: Err(crowded(wait)),
