--- a/src/kernel/fairness.rs
+++ b/src/kernel/fairness.rs
@@ -10,15 +10,15 @@
 
 /// Tokens used of late per account, divided by its share and halved every [`USAGE_HALF_LIFE`].
 #[derive(Debug, Default)]
-pub struct Usage {
+pub struct AccountUsage {
     by_account: HashMap<String, f64>,
     decayed_at: Duration,
 }
 
-impl Usage {
+impl AccountUsage {
     /// What an account used of late.
     #[must_use]
-    pub fn of(&self, account: &str) -> f64 {
+    pub fn weighted_tokens(&self, account: &str) -> f64 {
         self.by_account.get(account).copied().unwrap_or_default()
     }
 
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -8,7 +8,7 @@
 use uuid::Uuid;
 
 use super::estimate::Estimates;
-use super::fairness::{QueueWaitEstimator, Usage};
+use super::fairness::{AccountUsage, QueueWaitEstimator};
 use super::policy::{
     Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
 };
@@ -175,7 +175,7 @@
     places: BTreeMap<String, Place>,
     streams: HashMap<Uuid, Stream>,
     waiting: Vec<Waiting>,
-    usage: Usage,
+    usage: AccountUsage,
     wait_estimator: QueueWaitEstimator,
 }
 
@@ -217,7 +217,7 @@
             places: BTreeMap::new(),
             streams: HashMap::new(),
             waiting: Vec::new(),
-            usage: Usage::default(),
+            usage: AccountUsage::default(),
             wait_estimator: QueueWaitEstimator::new(limits.queue_wait),
         }
     }
@@ -389,14 +389,14 @@
     }
 
     fn count_ahead(&self, request: &ReserveRequest) -> usize {
-        let own_usage = self.usage.of(&request.account);
+        let own_usage = self.usage.weighted_tokens(&request.account);
         self.waiting
             .iter()
             .filter(|waiting| {
                 let other = &waiting.request;
                 other.priority > request.priority
                     || (other.priority == request.priority
-                        && self.usage.of(&other.account) <= own_usage)
+                        && self.usage.weighted_tokens(&other.account) <= own_usage)
             })
             .count()
     }
@@ -500,7 +500,7 @@
     fn take_ranked(&mut self) -> Vec<Waiting> {
         let mut ranked = std::mem::take(&mut self.waiting);
         ranked.sort_by(|left, right| {
-            let usage = |waiting: &Waiting| self.usage.of(&waiting.request.account);
+            let usage = |waiting: &Waiting| self.usage.weighted_tokens(&waiting.request.account);
             right
                 .request
                 .priority
