--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -17,7 +17,7 @@
 use crate::kernel::lease::{Claim, LeaseKeeper, LeaseProof, LeaseStep, LeaseTimes};
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::EndpointRole;
-use crate::kernel::placement::{Assignment, DemandByModel, plan};
+use crate::kernel::placement::{Assignment, DemandByModel, plan_hall};
 use crate::kernel::policy::LoadedModel;
 use crate::kernel::rules::Catalog;
 use crate::log_service::CONFIG_STREAM;
@@ -201,7 +201,7 @@
         })
         .collect();
     let demand = node.lease.demand.lock().clone();
-    for planned in plan(&catalog, hall, &demand, &held) {
+    for planned in plan_hall(&catalog, hall, &demand, &held) {
         let assignment = keep_until_replaced(planned, &held);
         if needs_order(node, &assignment, proof) && begin_order(node, &assignment.endpoint) {
             tokio::spawn(give_order(node.clone(), assignment, proof));
--- a/src/kernel/placement.rs
+++ b/src/kernel/placement.rs
@@ -22,7 +22,7 @@
 ///
 /// `held` tells the live engines and what each holds; the plan keeps models where they are, so that it moves little.
 #[must_use]
-pub fn plan(
+pub fn plan_hall(
     catalog: &Catalog,
     hall: &str,
     demand: &DemandByModel,
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
-use larkwick::kernel::placement::{DemandByModel, plan};
+use larkwick::kernel::placement::{DemandByModel, plan_hall};
 use larkwick::kernel::policy::LoadedModel;
 use larkwick::kernel::rules::{Catalog, Workload};
 use larkwick::tool::check::parse_objects;
@@ -91,7 +91,7 @@
 #[test]
 fn plan_rules_and_replicas_respected() {
     let catalog = catalog(&site());
-    let plan = plan(&catalog, "h", &DemandByModel::new(), &all_live());
+    let plan = plan_hall(&catalog, "h", &DemandByModel::new(), &all_live());
     let placed = placed(&plan);
     assert_eq!(placed["e1"], ["chat"], "batch may not run there");
     assert!(placed.values().any(|models| models == &["batch"]));
@@ -102,7 +102,7 @@
     let catalog = catalog(&site());
     for (wanted, other) in [("chat", "batch"), ("batch", "chat")] {
         let demand: DemandByModel = [(wanted.to_owned(), 1000.0), (other.to_owned(), 1.0)].into();
-        let plan = plan(&catalog, "h", &demand, &all_live());
+        let plan = plan_hall(&catalog, "h", &demand, &all_live());
         let copies = plan
             .iter()
             .filter(|one| one.models[0].name == wanted)
@@ -114,12 +114,15 @@
 #[test]
 fn plan_same_again_moves_nothing() {
     let catalog = catalog(&site());
-    let first = plan(&catalog, "h", &DemandByModel::new(), &all_live());
+    let first = plan_hall(&catalog, "h", &DemandByModel::new(), &all_live());
     let held = first
         .iter()
         .map(|one| (one.endpoint.clone(), one.models.clone()))
         .collect();
-    assert_eq!(plan(&catalog, "h", &DemandByModel::new(), &held), first);
+    assert_eq!(
+        plan_hall(&catalog, "h", &DemandByModel::new(), &held),
+        first
+    );
 }
 
 #[test]
@@ -127,6 +130,6 @@
     let catalog = catalog(&site());
     let mut live = all_live();
     live.remove("e2");
-    let plan = plan(&catalog, "h", &DemandByModel::new(), &live);
+    let plan = plan_hall(&catalog, "h", &DemandByModel::new(), &live);
     assert!(plan.iter().all(|one| one.endpoint != "e2"));
 }
