--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -1,6 +1,8 @@
-//! The configuration fold: every instance applies the same records in the log's order and reaches the same state.
+//! The replicated configuration state. Every instance applies the same log records in the same
+//! order and therefore reaches the same state.
 //!
-//! The halls' lease claims travel in the same stream, so that one order, one snapshot and one way of closing gaps serve both.
+//! Lease claims of the halls are part of the same log, so configuration and leases share one record
+//! order, one snapshot format and one way to recover from expired records.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,66 +12,69 @@
 use super::lease::{Claim, LeaseFold};
 use super::object::{InvalidField, Object, ObjectKey, ObjectKind};
 
-/// How many offsets back a record's base may lie, and how long publish ids and tombstones are kept.
+/// Maximum distance in offsets between a publish and its base; also the retention of publish ids
+/// and tombstones.
 ///
-/// Every copy of a record that arrives later than this is rejected by its base, so forgetting its id is harmless.
+/// A duplicate that arrives after its id was pruned is rejected because its base is too old, so
+/// pruning is safe.
 pub const BASE_WINDOW_OFFSETS: u64 = 10_000;
-const DIGESTS_KEPT: usize = 1_024;
+/// Number of digests of the local state that are kept to verify snapshots of other instances.
+const MAX_RETAINED_DIGESTS: usize = 1_024;
 
-/// A record of the configuration stream.
+/// A record of the configuration log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Record {
     /// An operator's change.
     Publish(Publish),
-    /// A claim of a hall's lease.
+    /// A claim on the lease of a hall.
     Claim(Claim),
-    /// The fold's state, so that older records may expire.
+    /// The state before this record, which allows older records to expire.
     Snapshot(Box<Snapshot>),
 }
 
-/// Objects changed together: all are accepted or none.
+/// An atomic set of changes: either all are accepted or none.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Publish {
-    /// Chosen by the publisher; a second copy of the same id changes nothing.
+    /// Idempotency id chosen by the publisher. A duplicate with the same id has no effect.
     pub publish_id: Uuid,
-    /// Offset of the next record when the publisher read the state.
+    /// Next offset of the state that the publisher read before it prepared the changes.
     pub base_offset: u64,
-    /// Who published, for the history.
+    /// Name of the publisher, for the history.
     #[serde(default)]
     pub publisher: String,
-    /// The changes.
+    /// Changes to apply, in order.
     pub changes: Vec<Change>,
 }
 
-/// One changed object.
+/// A change to one object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that the publisher saw; 0 where the object did not exist.
+    /// Revision of the object that the publisher read; 0 if the object did not exist.
     pub seen_revision: u64,
-    /// What to do.
+    /// Operation to perform.
     #[serde(flatten)]
     pub action: ChangeAction,
 }
 
-/// What a change does.
+/// Operation of a [`Change`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum ChangeAction {
-    /// Creates or replaces.
+    /// Creates or replaces an object.
     Put {
-        /// The object.
+        /// New value.
         object: Box<Object>,
     },
-    /// Deletes.
+    /// Deletes an object.
     Delete {
-        /// Which object.
+        /// Key of the object to delete.
         key: ObjectKey,
     },
 }
 
 impl ChangeAction {
-    /// The object concerned.
+    /// Returns the key of the object to change.
     #[must_use]
     pub fn key(&self) -> ObjectKey {
         match self {
@@ -79,99 +84,102 @@
     }
 }
 
-/// How the fold decided on a publish.
+/// Verdict on a publish.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force from this offset on.
+    /// The changes are in force from this record on.
     Accepted,
-    /// An object had changed since the publisher saw it.
+    /// An object has changed since the publisher read it.
     Conflict {
-        /// The object.
+        /// Key of the changed object.
         key: ObjectKey,
-        /// Revision in force; 0 where absent.
+        /// Current revision; 0 if the object does not exist.
         current_revision: u64,
     },
-    /// A check failed.
+    /// An object failed validation.
     Invalid(InvalidField),
-    /// The base lies too far back or ahead.
+    /// The base offset is outside the window or ahead of the log.
     StaleBase,
 }
 
-/// An object and the offset that last changed it.
+/// An object with its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versioned {
-    /// Offset of the record, plus one, so that 0 means absent.
+    /// Offset of the record that last changed the object, plus one; 0 is reserved for absent
+    /// objects.
     pub revision: u64,
-    /// The object.
+    /// Current value.
     pub object: Object,
 }
 
-/// A publish that was decided, for the history and for second copies.
+/// A recorded decision on a publish, kept for the history and to recognize duplicates.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PublishDecision {
-    /// Offset of the first copy.
+    /// Offset of the first record with this publish id.
     pub offset: u64,
-    /// The decision.
+    /// Verdict on that record.
     pub verdict: Verdict,
-    /// Who published.
+    /// Name of the publisher.
     pub publisher: String,
-    /// Objects concerned.
+    /// Keys of the objects that the publish changes.
     pub keys: Vec<ObjectKey>,
 }
 
-/// The state of the fold.
+/// Configuration state after applying a prefix of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// Offset of the next record to apply; every record below it has been applied.
+    /// Offset of the next record to apply. All records with lower offsets have been applied.
     pub next_offset: u64,
     /// Objects in force.
     pub objects: BTreeMap<ObjectKey, Versioned>,
-    /// Deleted objects, with the revision of their deletion; kept for [`BASE_WINDOW_OFFSETS`].
+    /// Deleted objects with the revision of the deletion, kept for [`BASE_WINDOW_OFFSETS`].
     pub tombstones: BTreeMap<ObjectKey, u64>,
-    /// Publishes decided within [`BASE_WINDOW_OFFSETS`].
+    /// Decisions by publish id, kept for [`BASE_WINDOW_OFFSETS`].
     pub decided: BTreeMap<Uuid, PublishDecision>,
-    /// Claims in force.
+    /// Lease claims in force.
     #[serde(default)]
     pub leases: LeaseFold,
 }
 
-/// A snapshot of the fold.
+/// A snapshot of the configuration state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Instance that wrote it.
+    /// Instance that wrote the snapshot.
     pub writer: String,
-    /// Hash of `state`; a reader that gets another hash does not adopt it.
+    /// Digest of `state`. A reader that computes a different digest does not install the snapshot.
     pub digest: String,
-    /// The state before the record at `state.next_offset`.
+    /// State before the record at `state.next_offset` is applied.
     pub state: ConfigState,
 }
 
-/// What applying a record did.
+/// Effect of applying a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordEffect {
-    /// A publish was decided for the first time.
+    /// A publish with a new id was decided.
     PublishDecided(Verdict),
-    /// A second copy of a publish; nothing changed.
+    /// A publish with a known id; the state did not change.
     DuplicatePublish,
-    /// A claim; `true` where it took effect.
+    /// A lease claim; `true` if it took effect.
     Claim(bool),
-    /// A snapshot that the reader did not need; `digest_matches` is false where its digest differs from the reader's own.
+    /// A snapshot that was not needed to catch up; used only to verify the local state.
     Snapshot {
-        /// Whether the digests agree, where the reader still has its own for that offset.
+        /// Whether the digest equals the local one for that offset; `None` if the local digest is
+        /// no longer known.
         digest_matches: Option<bool>,
     },
-    /// A record that this version cannot read; skipped the same way everywhere.
+    /// A record that cannot be decoded. Every instance skips it in the same way.
     Unreadable,
 }
 
-/// The fold as an instance runs it.
+/// The configuration state machine of an instance.
 #[derive(Debug, Clone)]
 pub struct ConfigFold {
     state: ConfigState,
-    /// The same on every instance; [`BASE_WINDOW_OFFSETS`] but in the model.
+    /// Base window; must be equal on every instance. [`BASE_WINDOW_OFFSETS`] except in the model
+    /// checker.
     window_offsets: u64,
-    /// Digests of the states before recent offsets, oldest first.
+    /// Digests of the local state before recent offsets, oldest first.
     digests: VecDeque<OffsetDigest>,
 }
 
@@ -181,38 +189,44 @@
     digest: String,
 }
 
-/// Why records cannot be applied to the state at hand.
+/// Records that the state still needs have expired from the log, and no snapshot replaces them.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("records {have} to {first_kept} have expired and no usable snapshot was found")]
+#[error(
+    "log records from offset {next_offset} to before {first_retained} have expired and no usable snapshot was found"
+)]
 pub struct LogGap {
-    /// Next offset this state needs.
-    pub have: u64,
-    /// First offset the log still has.
-    pub first_kept: u64,
+    /// Next offset that the state needs.
+    pub next_offset: u64,
+    /// First offset that the log still contains.
+    pub first_retained: u64,
 }
 
 impl ConfigState {
-    /// Hash of the state. Equal states have equal digests.
+    /// Returns the BLAKE3 hash of the serialized state. Equal states have equal digests.
     #[must_use]
     pub fn digest(&self) -> String {
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         blake3::hash(&bytes).to_hex().to_string()
     }
 
-    /// Revision of an object; 0 where absent. A tombstone has a revision too, but an absent object is seen as 0.
+    /// Returns the revision of an object, or 0 if it does not exist.
+    ///
+    /// A deleted object also counts as 0, although its tombstone has a revision.
     #[must_use]
     pub fn revision(&self, key: &ObjectKey) -> u64 {
-        self.objects.get(key).map_or(0, |held| held.revision)
+        self.objects
+            .get(key)
+            .map_or(0, |versioned| versioned.revision)
     }
 
-    fn decide(&self, offset: u64, publish: &Publish, window_offsets: u64) -> Verdict {
-        let too_old = publish.base_offset + window_offsets < offset;
-        if too_old || publish.base_offset > offset {
+    fn decide_publish(&self, offset: u64, publish: &Publish, window_offsets: u64) -> Verdict {
+        let is_too_old = publish.base_offset + window_offsets < offset;
+        if is_too_old || publish.base_offset > offset {
             return Verdict::StaleBase;
         }
         for change in &publish.changes {
             let key = change.action.key();
-            if let Some(verdict) = self.decide_change(publish, change, key) {
+            if let Some(verdict) = self.rejection_of(publish, change, key) {
                 return verdict;
             }
         }
@@ -222,14 +236,15 @@
         }
     }
 
-    fn decide_change(&self, publish: &Publish, change: &Change, key: ObjectKey) -> Option<Verdict> {
+    /// Returns the verdict that rejects a change, or `None` if the change is acceptable.
+    fn rejection_of(&self, publish: &Publish, change: &Change, key: ObjectKey) -> Option<Verdict> {
         let current_revision = self.revision(&key);
-        // An object deleted after the publisher's base must not come back through a create that did not see it.
-        let deleted_since = self
+        // A publisher that did not see a deletion must not recreate the deleted object.
+        let deleted_after_base = self
             .tombstones
             .get(&key)
-            .is_some_and(|&deleted| deleted > publish.base_offset);
-        if current_revision != change.seen_revision || deleted_since {
+            .is_some_and(|&deletion_revision| deletion_revision > publish.base_offset);
+        if current_revision != change.seen_revision || deleted_after_base {
             return Some(Verdict::Conflict {
                 key,
                 current_revision,
@@ -241,6 +256,7 @@
         object.validate().err().map(Verdict::Invalid)
     }
 
+    /// Applies the changes of an accepted publish.
     fn commit(&mut self, offset: u64, publish: &Publish) {
         let revision = offset + 1;
         for change in &publish.changes {
@@ -259,15 +275,16 @@
         }
     }
 
-    /// Checks between objects, as they would be after the publish: an endpoint's hall must be published.
+    /// Checks references between objects in the state that the publish would produce: the hall of
+    /// an endpoint must exist.
     fn check_references(&self, publish: &Publish) -> Result<(), InvalidField> {
-        let after = AfterPublish::new(self, publish);
+        let preview = PublishPreview::new(self, publish);
         for change in &publish.changes {
             match &change.action {
-                ChangeAction::Put { object } => after.check_hall_of(object)?,
+                ChangeAction::Put { object } => preview.check_hall_reference(object)?,
                 ChangeAction::Delete { key } if key.kind == ObjectKind::Hall => {
-                    // Only this one looks at all objects; halls are hardly ever deleted.
-                    after.check_all()?;
+                    // Scans all objects; acceptable because halls are rarely deleted.
+                    preview.check_unchanged_objects()?;
                 }
                 ChangeAction::Delete { .. } => {}
             }
@@ -275,10 +292,13 @@
         Ok(())
     }
 
-    fn forget_old(&mut self, window_offsets: u64) {
-        let oldest = self.next_offset.saturating_sub(window_offsets + 1);
-        self.decided.retain(|_, decided| decided.offset >= oldest);
-        self.tombstones.retain(|_, revision| *revision > oldest);
+    /// Removes decisions and tombstones that are older than the base window.
+    fn prune_expired(&mut self, window_offsets: u64) {
+        let oldest_offset = self.next_offset.saturating_sub(window_offsets + 1);
+        self.decided
+            .retain(|_, decision| decision.offset >= oldest_offset);
+        self.tombstones
+            .retain(|_, revision| *revision > oldest_offset);
     }
 }
 
@@ -288,14 +308,14 @@
     }
 }
 
-/// The objects as they would be after a publish, without a copy of the state.
-struct AfterPublish<'a> {
+/// A view of the objects as a publish would leave them, without copying the state.
+struct PublishPreview<'a> {
     state: &'a ConfigState,
-    /// What becomes of each object concerned; the last change of an object counts.
+    /// Final action on each changed object; the last change to an object wins.
     changed: BTreeMap<ObjectKey, &'a ChangeAction>,
 }
 
-impl<'a> AfterPublish<'a> {
+impl<'a> PublishPreview<'a> {
     fn new(state: &'a ConfigState, publish: &'a Publish) -> Self {
         let changes = publish.changes.iter();
         Self {
@@ -306,7 +326,7 @@
         }
     }
 
-    fn has(&self, key: &ObjectKey) -> bool {
+    fn contains(&self, key: &ObjectKey) -> bool {
         match self.changed.get(key) {
             Some(ChangeAction::Put { .. }) => true,
             Some(ChangeAction::Delete { .. }) => false,
@@ -314,15 +334,15 @@
         }
     }
 
-    fn check_hall_of(&self, object: &Object) -> Result<(), InvalidField> {
+    fn check_hall_reference(&self, object: &Object) -> Result<(), InvalidField> {
         let Object::Endpoint(endpoint) = object else {
             return Ok(());
         };
-        let hall = ObjectKey {
+        let hall_key = ObjectKey {
             kind: ObjectKind::Hall,
             name: endpoint.hall.clone(),
         };
-        if self.has(&hall) {
+        if self.contains(&hall_key) {
             return Ok(());
         }
         Err(InvalidField {
@@ -332,25 +352,25 @@
         })
     }
 
-    fn check_all(&self) -> Result<(), InvalidField> {
+    fn check_unchanged_objects(&self) -> Result<(), InvalidField> {
         let unchanged = self.state.objects.iter();
         let unchanged = unchanged.filter(|(key, _)| !self.changed.contains_key(key));
-        for (_, held) in unchanged {
-            self.check_hall_of(&held.object)?;
+        for (_, versioned) in unchanged {
+            self.check_hall_reference(&versioned.object)?;
         }
         Ok(())
     }
 }
 
 impl ConfigFold {
-    /// The same fold with another window, for the model.
+    /// Replaces the base window; used by the model checker.
     #[must_use]
     pub fn with_base_window(mut self, window_offsets: u64) -> Self {
         self.window_offsets = window_offsets;
         self
     }
 
-    /// A fold that starts from a state taken from a peer or a snapshot.
+    /// Creates a state machine that starts from a state of a peer or a snapshot.
     #[must_use]
     pub fn from_state(state: ConfigState) -> Self {
         Self {
@@ -360,55 +380,60 @@
         }
     }
 
-    /// The state in force.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// Applies the record at `state().next_offset`. `None` stands for a record that cannot be read.
+    /// Applies the record at `state().next_offset`. `None` stands for a record that cannot be
+    /// decoded.
     pub fn apply(&mut self, record: Option<&Record>) -> RecordEffect {
         let offset = self.state.next_offset;
-        let applied = match record {
+        let effect = match record {
             None => RecordEffect::Unreadable,
             Some(Record::Publish(publish)) => self.apply_publish(offset, publish),
             Some(Record::Claim(claim)) => {
                 RecordEffect::Claim(self.state.leases.apply(offset, claim))
             }
             Some(Record::Snapshot(snapshot)) => RecordEffect::Snapshot {
-                digest_matches: self.digest_matches(snapshot),
+                digest_matches: self.compare_digest(snapshot),
             },
         };
         self.state.next_offset = offset + 1;
-        self.state.forget_old(self.window_offsets);
-        applied
+        self.state.prune_expired(self.window_offsets);
+        effect
     }
 
     fn apply_publish(&mut self, offset: u64, publish: &Publish) -> RecordEffect {
         if self.state.decided.contains_key(&publish.publish_id) {
             return RecordEffect::DuplicatePublish;
         }
-        let verdict = self.state.decide(offset, publish, self.window_offsets);
+        let verdict = self
+            .state
+            .decide_publish(offset, publish, self.window_offsets);
         if verdict == Verdict::Accepted {
             self.state.commit(offset, publish);
         }
-        let decided = PublishDecision {
+        let decision = PublishDecision {
             offset,
             verdict: verdict.clone(),
             publisher: publish.publisher.clone(),
             keys: publish.changes.iter().map(|c| c.action.key()).collect(),
         };
-        self.state.decided.insert(publish.publish_id, decided);
+        self.state.decided.insert(publish.publish_id, decision);
         RecordEffect::PublishDecided(verdict)
     }
 
-    /// Takes a snapshot's state where that is safe: it is intact, ahead of this state, and no record between it and the first
-    /// one kept is missing.
-    pub fn install_snapshot(&mut self, snapshot: &Snapshot, first_kept: u64) -> bool {
-        let intact = snapshot.state.digest() == snapshot.digest;
-        let ahead = snapshot.state.next_offset > self.state.next_offset;
-        let complete = snapshot.state.next_offset >= first_kept;
-        if !(intact && ahead && complete) {
+    /// Replaces the state by that of a snapshot if this is safe, and returns whether it did.
+    ///
+    /// The snapshot must be intact and ahead of the current state, and no record between it and
+    /// `first_retained`, the first offset that the log still contains, may be missing.
+    pub fn install_snapshot(&mut self, snapshot: &Snapshot, first_retained: u64) -> bool {
+        let is_intact = snapshot.state.digest() == snapshot.digest;
+        let is_ahead = snapshot.state.next_offset > self.state.next_offset;
+        let has_no_gap = snapshot.state.next_offset >= first_retained;
+        if !(is_intact && is_ahead && has_no_gap) {
             return false;
         }
         self.state = snapshot.state.clone();
@@ -416,7 +441,7 @@
         true
     }
 
-    /// Takes a peer's state where it is ahead.
+    /// Replaces the state by that of a peer if the peer is ahead, and returns whether it did.
     pub fn install_peer_state(&mut self, state: ConfigState) -> bool {
         if state.next_offset <= self.state.next_offset {
             return false;
@@ -426,14 +451,14 @@
         true
     }
 
-    /// A snapshot of the present state.
+    /// Creates a snapshot of the current state and remembers its digest.
     pub fn snapshot(&mut self, writer: &str) -> Snapshot {
         let digest = self.state.digest();
         self.digests.push_back(OffsetDigest {
             next_offset: self.state.next_offset,
             digest: digest.clone(),
         });
-        if self.digests.len() > DIGESTS_KEPT {
+        if self.digests.len() > MAX_RETAINED_DIGESTS {
             self.digests.pop_front();
         }
         Snapshot {
@@ -443,21 +468,26 @@
         }
     }
 
-    fn digest_matches(&self, snapshot: &Snapshot) -> Option<bool> {
+    /// Compares the digest of a snapshot with the local digest for the same offset; `None` if the
+    /// local digest is not known.
+    fn compare_digest(&self, snapshot: &Snapshot) -> Option<bool> {
         if snapshot.state.next_offset == self.state.next_offset {
             return Some(self.state.digest() == snapshot.digest);
         }
         self.digests
             .iter()
-            .find(|kept| kept.next_offset == snapshot.state.next_offset)
-            .map(|kept| kept.digest == snapshot.digest)
+            .find(|local| local.next_offset == snapshot.state.next_offset)
+            .map(|local| local.digest == snapshot.digest)
     }
 
-    /// Applies what a read of the log returned. Records below the state's offset are skipped; a gap is closed by the newest
-    /// usable snapshot among the records.
+    /// Applies the records that a read of the log returned.
+    ///
+    /// Records that were already applied are skipped. If records that the state needs have expired,
+    /// the newest usable snapshot among the records is installed first.
     ///
     /// # Errors
-    /// Records are missing and no snapshot among those at hand closes the gap; the state is unchanged.
+    /// Returns [`LogGap`] if needed records have expired and none of the snapshots replaces them;
+    /// the state is unchanged.
     pub fn catch_up(&mut self, read: &LogRead<'_>) -> Result<Vec<RecordEffect>, LogGap> {
         if self.state.next_offset < read.first_offset {
             let snapshots = read.records.iter().rev().filter_map(|record| match record {
@@ -472,8 +502,8 @@
         }
         if self.state.next_offset < read.first_offset {
             return Err(LogGap {
-                have: self.state.next_offset,
-                first_kept: read.first_offset,
+                next_offset: self.state.next_offset,
+                first_retained: read.first_offset,
             });
         }
         let skip =
@@ -483,11 +513,11 @@
     }
 }
 
-/// Consecutive records as read from the log.
+/// Consecutive records read from the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogRead<'a> {
-    /// Offset of the first record. Where records have expired, this is the first one kept.
+    /// Offset of the first record; the first retained offset if the requested ones have expired.
     pub first_offset: u64,
-    /// The records; `None` where one cannot be read.
+    /// Records in log order; `None` for a record that cannot be decoded.
     pub records: &'a [Option<Record>],
 }
