--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -1,4 +1,5 @@
-//! Routing policies: plug-ins that choose an endpoint for a generation. Baselines stand beside the default.
+//! Routing policies: plug-ins that choose an endpoint for a generation. `profile` is the default; the
+//! others are baselines to compare with.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
@@ -6,89 +7,94 @@
 
 use super::estimate::{HORIZONS, HORIZONS_TOKENS, Spread, Survival};
 
-/// A model version that an engine holds.
+/// A model version that is loaded on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// Model name.
+    /// Name of the model.
     pub name: String,
-    /// Version.
+    /// Version of the model.
     pub version: String,
 }
 
-/// An engine's report of its load, some time ago.
+/// A load report of an engine. It lags behind the present load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Incarnation of the endpoint.
     pub incarnation: Uuid,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is draining.
     #[serde(default)]
     pub leaving: bool,
-    /// Generations being decoded.
+    /// Number of generations being decoded.
     pub running: u32,
-    /// Generations waiting in the engine.
+    /// Number of generations queued in the engine.
     pub waiting: u32,
-    /// Memory in use, in tokens.
+    /// KV-cache memory in use, in tokens.
     pub kv_used_tokens: u64,
-    /// Memory in all, in tokens.
+    /// Total KV-cache memory, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Preemptions since the start.
+    /// Preemptions since this incarnation started.
     pub preemptions_total: u64,
-    /// Models loaded.
+    /// Models that are loaded.
     #[serde(default)]
     pub models: Vec<LoadedModel>,
 }
 
-/// What the owner of a group knows exactly about an endpoint, because it granted it.
+/// Totals over the streams that the owner of a group has granted on one endpoint.
+///
+/// Unlike a [`LoadReport`] they do not lag, because the owner counts its own grants.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct InFlight {
-    /// Streams granted and not released.
+    /// Number of streams granted and not released.
     pub streams: u32,
-    /// Prompt and output tokens held now, as last reported by the entries.
+    /// Prompt and output tokens held in memory, from the progress reports of the entries.
     pub held_tokens: f64,
-    /// Prompt tokens plus declared maximum.
+    /// Prompt tokens plus the declared maximum of the output.
     pub declared_tokens: f64,
-    /// Expected tokens still to come.
+    /// Expected number of tokens still to be generated.
     pub residual_mean_tokens: f64,
-    /// Variance of the tokens still to come.
+    /// Variance of the number of tokens still to be generated.
     pub residual_variance: f64,
-    /// Expected tokens held once each stream that still runs has made so many more, by horizon.
+    /// Expected tokens held after every stream that is still running has generated as many further
+    /// tokens as [`HORIZONS_TOKENS`] says, by horizon.
     pub profile_mean_tokens: [f64; HORIZONS],
-    /// Variance of the same.
+    /// Variance of `profile_mean_tokens`, by horizon.
     pub profile_variance: [f64; HORIZONS],
 }
 
-/// What is known of one stream.
+/// Known and predicted size of one stream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StreamSize {
-    /// Prompt, in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens made.
-    pub made_tokens: u32,
-    /// Declared maximum, in tokens.
+    /// Tokens generated so far.
+    pub generated_tokens: u32,
+    /// Declared maximum length of the output, in tokens.
     pub max_tokens: u32,
-    /// What is expected to come.
+    /// Estimate of the tokens still to be generated.
     pub residual: Spread,
-    /// Probability that it still runs, by horizon.
+    /// Probability that the stream is still running, by horizon.
     pub survival: Survival,
 }
 
 impl InFlight {
-    /// Adds one stream.
+    /// Adds one stream to the totals.
     pub fn add(&mut self, stream: &StreamSize) {
-        let held = f64::from(stream.prompt_tokens) + f64::from(stream.made_tokens);
+        let held_tokens = f64::from(stream.prompt_tokens) + f64::from(stream.generated_tokens);
         self.streams += 1;
-        self.held_tokens += held;
+        self.held_tokens += held_tokens;
         self.declared_tokens += f64::from(stream.prompt_tokens) + f64::from(stream.max_tokens);
         self.residual_mean_tokens += stream.residual.mean_tokens;
         self.residual_variance += stream.residual.variance;
-        for (index, runs) in stream.survival.iter().enumerate() {
-            let then = held + f64::from(HORIZONS_TOKENS[index]);
-            self.profile_mean_tokens[index] += runs * then;
-            self.profile_variance[index] += runs * (1.0 - runs) * then * then;
+        for (index, survival) in stream.survival.iter().enumerate() {
+            let held_then = held_tokens + f64::from(HORIZONS_TOKENS[index]);
+            self.profile_mean_tokens[index] += survival * held_then;
+            self.profile_variance[index] += survival * (1.0 - survival) * held_then * held_then;
         }
     }
 
-    /// Highest memory over the horizons: streams that end give theirs back while others grow.
+    /// Returns the predicted peak memory use over the horizons, plus `sigmas` standard deviations.
+    ///
+    /// Takes into account that streams which finish release their memory while others grow.
     #[must_use]
     pub fn predicted_peak_tokens(&self, sigmas: f64) -> f64 {
         let variances = self.profile_variance.iter();
@@ -98,7 +104,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Tokens held once the streams have grown by what is expected, plus a number of standard deviations.
+    /// Returns the tokens held when every stream has reached its expected length, plus `sigmas`
+    /// standard deviations.
     #[must_use]
     pub fn predicted_tokens(&self, sigmas: f64) -> f64 {
         self.held_tokens + self.residual_mean_tokens + sigmas * self.residual_variance.sqrt()
@@ -108,39 +115,39 @@
 /// An endpoint that a policy may choose.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Name.
+    /// Name of the endpoint.
     pub name: &'a str,
-    /// Memory, in tokens.
+    /// KV-cache capacity, in tokens.
     pub capacity_tokens: f64,
-    /// Its last report, if any came.
+    /// Last load report, if any was received.
     pub report: Option<&'a LoadReport>,
-    /// What the owner granted; empty where an entry chooses alone.
+    /// Streams granted by the owner; empty if an entry chooses alone.
     pub in_flight: InFlight,
-    /// Share of the memory that predicted tokens may fill; follows the preemptions seen.
+    /// Fraction of the memory that predicted tokens may fill; adapted to the observed preemptions.
     pub fill_limit: f64,
-    /// Prompt tokens that the endpoint's prefix cache is believed to hold.
+    /// Prompt tokens that the prefix cache of the endpoint is assumed to hold.
     pub cached_prefix_tokens: u32,
 }
 
-/// What a generation asks for.
+/// Known and predicted size of a generation that is to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Prompt, in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Declared maximum of the output, in tokens.
+    /// Declared maximum length of the output, in tokens.
     pub max_tokens: u32,
-    /// What the output is expected to be.
+    /// Estimate of the output length.
     pub residual: Spread,
-    /// Probability that it still runs, by horizon.
+    /// Probability that the generation is still running, by horizon.
     pub survival: Survival,
 }
 
 impl Demand {
-    /// The stream that it would start.
-    fn stream(&self) -> StreamSize {
+    /// Returns the size of the stream that this generation would start.
+    fn initial_stream_size(&self) -> StreamSize {
         StreamSize {
             prompt_tokens: self.prompt_tokens,
-            made_tokens: 0,
+            generated_tokens: 0,
             max_tokens: self.max_tokens,
             residual: self.residual,
             survival: self.survival,
@@ -148,22 +155,22 @@
     }
 }
 
-/// Who applies the policy.
+/// Where a policy is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyScope {
-    /// Each entry alone, on lagging reports.
+    /// By each entry alone, based on lagging load reports.
     Entry,
-    /// The group's owner, on what it granted.
+    /// By the owner of the group, based on its own grants.
     Group,
 }
 
-/// Chooses an endpoint.
+/// Chooses an endpoint for a generation.
 pub trait RoutingPolicy: Send + Sync {
-    /// Name in the settings.
+    /// Returns the name used in the settings.
     fn name(&self) -> &'static str;
-    /// Who applies it.
+    /// Returns where the policy is applied.
     fn scope(&self) -> PolicyScope;
-    /// Index of the chosen candidate; `None` where none has room.
+    /// Returns the index of the chosen candidate, or `None` if none has enough free capacity.
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
@@ -174,15 +181,15 @@
 
 /// A registered policy.
 pub struct PolicyPlugin {
-    /// Name in the settings.
+    /// Name used in the settings.
     pub name: &'static str,
-    /// Makes an instance.
+    /// Creates the policy.
     pub build: fn() -> Box<dyn RoutingPolicy>,
 }
 
 inventory::collect!(PolicyPlugin);
 
-/// Names of the registered policies, sorted.
+/// Returns the names of the registered policies, sorted.
 #[must_use]
 pub fn names() -> Vec<&'static str> {
     let mut names: Vec<_> = inventory::iter::<PolicyPlugin>()
@@ -192,7 +199,7 @@
     names
 }
 
-/// Builds a policy by name.
+/// Creates a policy by name, or returns `None` if no policy with that name is registered.
 #[must_use]
 pub fn build(name: &str) -> Option<Box<dyn RoutingPolicy>> {
     inventory::iter::<PolicyPlugin>()
@@ -200,11 +207,16 @@
         .map(|plugin| (plugin.build)())
 }
 
-fn lowest(candidates: &[Candidate<'_>], score: impl Fn(&Candidate<'_>) -> f64) -> Option<usize> {
+/// Returns the index of the candidate with the lowest score.
+fn index_of_lowest(
+    candidates: &[Candidate<'_>],
+    score: impl Fn(&Candidate<'_>) -> f64,
+) -> Option<usize> {
     (0..candidates.len())
         .min_by(|&left, &right| score(&candidates[left]).total_cmp(&score(&candidates[right])))
 }
 
+/// Chooses a candidate at random.
 struct Random;
 
 impl RoutingPolicy for Random {
@@ -226,6 +238,7 @@
     }
 }
 
+/// Chooses the candidate with the lowest reported load; ties are broken at random.
 struct LeastLoaded;
 
 impl RoutingPolicy for LeastLoaded {
@@ -243,22 +256,22 @@
         _: &Demand,
         random: &mut dyn Rng,
     ) -> Option<usize> {
-        let fill = |candidate: &Candidate<'_>| {
+        let load = |candidate: &Candidate<'_>| {
             candidate.report.map_or(0.0, |report| {
                 f64::from(report.waiting)
                     + tokens_as_f64(report.kv_used_tokens) / candidate.capacity_tokens
             })
         };
-        let least = lowest(candidates, fill)?;
-        let least_fill = fill(&candidates[least]);
+        let least = index_of_lowest(candidates, load)?;
+        let least_load = load(&candidates[least]);
         let tied: Vec<usize> = (0..candidates.len())
-            .filter(|&index| fill(&candidates[index]) <= least_fill)
+            .filter(|&index| load(&candidates[index]) <= least_load)
             .collect();
         Some(tied[random.random_range(0..tied.len())])
     }
 }
 
-/// A count of tokens as a float; exact below 2^53.
+/// Converts a token count to a float; exact below 2^53.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
@@ -268,7 +281,8 @@
     tokens as f64
 }
 
-/// The owner's exact view without any admission: the least held memory, always admitted.
+/// Chooses the candidate with the least memory in use according to the owner's grants, without
+/// admission control.
 struct LeastInFlight;
 
 impl RoutingPolicy for LeastInFlight {
@@ -281,13 +295,15 @@
     }
 
     fn choose(&self, candidates: &[Candidate<'_>], _: &Demand, _: &mut dyn Rng) -> Option<usize> {
-        lowest(candidates, |candidate| {
+        index_of_lowest(candidates, |candidate| {
             candidate.in_flight.held_tokens / candidate.capacity_tokens
         })
     }
 }
 
-/// Admits by the declared maximum.
+/// Admits a generation if the declared maximum lengths of all streams fit into memory.
+///
+/// An endpoint without streams always admits.
 struct FixedReservation;
 
 impl RoutingPolicy for FixedReservation {
@@ -305,47 +321,49 @@
         demand: &Demand,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        let own = f64::from(demand.prompt_tokens) + f64::from(demand.max_tokens);
-        let filled = |candidate: &Candidate<'_>| {
-            (candidate.in_flight.declared_tokens + own) / candidate.capacity_tokens
+        let own_tokens = f64::from(demand.prompt_tokens) + f64::from(demand.max_tokens);
+        let declared_fill = |candidate: &Candidate<'_>| {
+            (candidate.in_flight.declared_tokens + own_tokens) / candidate.capacity_tokens
         };
-        let least = lowest(candidates, filled)?;
-        let empty = candidates[least].in_flight.streams == 0;
-        (empty || filled(&candidates[least]) <= 1.0).then_some(least)
+        let least = index_of_lowest(candidates, declared_fill)?;
+        let is_empty = candidates[least].in_flight.streams == 0;
+        (is_empty || declared_fill(&candidates[least]) <= 1.0).then_some(least)
     }
 }
 
-/// Standard deviations of the predicted memory that are kept free.
-const SIGMAS: f64 = 1.0;
-/// Fill that a cached prefix of the whole memory would be worth.
-const PREFIX_WEIGHT: f64 = 0.5;
+/// Headroom added to the predicted memory use, in standard deviations.
+const HEADROOM_SIGMAS: f64 = 1.0;
+/// Reduction of the predicted fill, in the score of a candidate, per fraction of its memory that
+/// holds a cached prefix of the prompt.
+const CACHED_PREFIX_WEIGHT: f64 = 0.5;
 
-/// Chooses the least predicted fill among the candidates that stay within their fill limit.
-fn choose_by_fill(
+/// Chooses the candidate with the lowest predicted fill, less a bonus for cached prompt tokens,
+/// among those that stay within their fill limit or have no streams.
+fn choose_by_predicted_fill(
     candidates: &[Candidate<'_>],
     demand: &Demand,
     predicted_tokens: fn(&InFlight) -> f64,
 ) -> Option<usize> {
-    let filled = |candidate: &Candidate<'_>| {
-        let mut after = candidate.in_flight;
-        after.add(&demand.stream());
-        predicted_tokens(&after) / candidate.capacity_tokens
+    let predicted_fill = |candidate: &Candidate<'_>| {
+        let mut in_flight = candidate.in_flight;
+        in_flight.add(&demand.initial_stream_size());
+        predicted_tokens(&in_flight) / candidate.capacity_tokens
     };
     let fits = |candidate: &Candidate<'_>| {
-        candidate.in_flight.streams == 0 || filled(candidate) <= candidate.fill_limit
+        candidate.in_flight.streams == 0 || predicted_fill(candidate) <= candidate.fill_limit
     };
     let score = |candidate: &Candidate<'_>| {
         if !fits(candidate) {
             return f64::INFINITY;
         }
-        let saved = f64::from(candidate.cached_prefix_tokens) / candidate.capacity_tokens;
-        filled(candidate) - PREFIX_WEIGHT * saved
+        let cached_fill = f64::from(candidate.cached_prefix_tokens) / candidate.capacity_tokens;
+        predicted_fill(candidate) - CACHED_PREFIX_WEIGHT * cached_fill
     };
-    let least = lowest(candidates, score)?;
+    let least = index_of_lowest(candidates, score)?;
     fits(&candidates[least]).then_some(least)
 }
 
-/// Admits by the sum of predicted residual lengths, as though all streams reached their end at once.
+/// Admits by the sum of the predicted final lengths, as if all streams finished at the same time.
 struct Residual;
 
 impl RoutingPolicy for Residual {
@@ -363,13 +381,14 @@
         demand: &Demand,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        choose_by_fill(candidates, demand, |in_flight| {
-            in_flight.predicted_tokens(SIGMAS)
+        choose_by_predicted_fill(candidates, demand, |in_flight| {
+            in_flight.predicted_tokens(HEADROOM_SIGMAS)
         })
     }
 }
 
-/// Admits by the predicted course of memory: streams that end give theirs back while others grow.
+/// Admits by the predicted peak of memory use over time: streams that finish release their memory
+/// while others grow.
 struct Profile;
 
 impl RoutingPolicy for Profile {
@@ -387,8 +406,8 @@
         demand: &Demand,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        choose_by_fill(candidates, demand, |in_flight| {
-            in_flight.predicted_peak_tokens(SIGMAS)
+        choose_by_predicted_fill(candidates, demand, |in_flight| {
+            in_flight.predicted_peak_tokens(HEADROOM_SIGMAS)
         })
     }
 }
