--- a/src/kernel/placement.rs
+++ b/src/kernel/placement.rs
@@ -1,4 +1,5 @@
-//! Which engine of a hall should hold which models: declared rules and replicas first, then recent demand.
+//! Assigns models to the engines of a hall: first the declared replicas, within the rules, then further
+//! replicas by recent demand.
 
 use std::collections::BTreeMap;
 
@@ -6,55 +7,56 @@
 use super::policy::LoadedModel;
 use super::rules::Catalog;
 
-/// What an engine should hold.
+/// The models that an engine should have loaded.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Assignment {
-    /// Endpoint.
+    /// Name of the engine's endpoint.
     pub endpoint: String,
-    /// Models and versions, in order of name.
+    /// Models and versions, sorted by name.
     pub models: Vec<LoadedModel>,
 }
 
-/// Recent tokens per model in a hall.
+/// Recent number of tokens per model in a hall.
 pub type DemandByModel = BTreeMap<String, f64>;
 
-/// Plans a hall. The same inputs give the same plan.
+/// Plans which models the engines of a hall should load. Deterministic.
 ///
-/// `held` tells the live engines and what each holds; the plan keeps models where they are, so that it moves little.
+/// `loaded` maps each live engine to the models it has loaded. The plan prefers engines that have a
+/// model loaded already, to avoid needless loading.
 #[must_use]
 pub fn plan_hall(
     catalog: &Catalog,
     hall: &str,
     demand: &DemandByModel,
-    held: &BTreeMap<String, Vec<LoadedModel>>,
+    loaded: &BTreeMap<String, Vec<LoadedModel>>,
 ) -> Vec<Assignment> {
     let engines: Vec<&Endpoint> = catalog
         .endpoints
         .iter()
-        .filter(|endpoint| endpoint.hall == hall && slots(endpoint) > 0)
-        .filter(|endpoint| held.contains_key(&endpoint.name))
+        .filter(|endpoint| endpoint.hall == hall && model_slots(endpoint) > 0)
+        .filter(|endpoint| loaded.contains_key(&endpoint.name))
         .collect();
     let mut models: Vec<&Model> = catalog.models().collect();
-    // Where slots are too few for all declared replicas, the models in demand come first.
-    let wanted = |model: &Model| demand.get(&model.name).copied().unwrap_or_default();
+    // If there are too few slots for all declared replicas, models with more demand go first.
+    let demand_of = |model: &Model| demand.get(&model.name).copied().unwrap_or_default();
     models.sort_by(|left, right| {
-        let by_demand = wanted(right).total_cmp(&wanted(left));
+        let by_demand = demand_of(right).total_cmp(&demand_of(left));
         by_demand.then_with(|| left.name.cmp(&right.name))
     });
-    let mut plan = Plan::new(catalog, &engines, held);
-    for round in 0..most_replicas(&models) {
+    let mut planner = PlacementPlanner::new(catalog, &engines, loaded);
+    for round in 0..max_replicas(&models) {
         for model in models
             .iter()
             .filter(|model| model.replicas_per_hall > round)
         {
-            plan.place(model);
+            planner.add_replica(model);
         }
     }
-    plan.fill_by_demand(&models, demand);
-    plan.finish()
+    planner.fill_by_demand(&models, demand);
+    planner.into_assignments()
 }
 
-fn most_replicas(models: &[&Model]) -> u32 {
+fn max_replicas(models: &[&Model]) -> u32 {
     models
         .iter()
         .map(|model| model.replicas_per_hall)
@@ -62,7 +64,7 @@
         .unwrap_or(0)
 }
 
-fn slots(endpoint: &Endpoint) -> usize {
+fn model_slots(endpoint: &Endpoint) -> usize {
     match endpoint.role {
         EndpointRole::Engine { model_slots, .. } => {
             usize::try_from(model_slots).unwrap_or(usize::MAX)
@@ -71,9 +73,9 @@
     }
 }
 
-struct Plan<'a> {
+struct PlacementPlanner<'a> {
     catalog: &'a Catalog,
-    held: &'a BTreeMap<String, Vec<LoadedModel>>,
+    loaded: &'a BTreeMap<String, Vec<LoadedModel>>,
     engines: Vec<PlannedEngine<'a>>,
 }
 
@@ -82,11 +84,11 @@
     models: Vec<&'a Model>,
 }
 
-impl<'a> Plan<'a> {
+impl<'a> PlacementPlanner<'a> {
     fn new(
         catalog: &'a Catalog,
         engines: &[&'a Endpoint],
-        held: &'a BTreeMap<String, Vec<LoadedModel>>,
+        loaded: &'a BTreeMap<String, Vec<LoadedModel>>,
     ) -> Self {
         let engines = engines.iter().map(|endpoint| PlannedEngine {
             endpoint,
@@ -94,28 +96,30 @@
         });
         Self {
             catalog,
-            held,
+            loaded,
             engines: engines.collect(),
         }
     }
 
-    /// Gives the model one more engine: one that holds it already, else the one with most free slots.
-    fn place(&mut self, model: &'a Model) -> bool {
+    /// Assigns a model to one more engine and returns whether one was found.
+    ///
+    /// Prefers an engine that has the model loaded, then the one with the most free slots.
+    fn add_replica(&mut self, model: &'a Model) -> bool {
         let catalog = self.catalog;
-        let held = self.held;
+        let loaded = self.loaded;
         let best = self
             .engines
             .iter_mut()
-            .filter(|engine| engine.models.len() < slots(engine.endpoint))
+            .filter(|engine| engine.models.len() < model_slots(engine.endpoint))
             .filter(|engine| engine.models.iter().all(|other| other.name != model.name))
             .filter(|engine| catalog.can_host_model(model, engine.endpoint))
             .max_by_key(|engine| {
                 let name = &engine.endpoint.name;
-                let holds = held
+                let is_loaded = loaded
                     .get(name)
                     .is_some_and(|models| models.iter().any(|m| m.name == model.name));
-                let free = slots(engine.endpoint) - engine.models.len();
-                (holds, free, std::cmp::Reverse(name.clone()))
+                let free_slots = model_slots(engine.endpoint) - engine.models.len();
+                (is_loaded, free_slots, std::cmp::Reverse(name.clone()))
             });
         let Some(engine) = best else {
             return false;
@@ -124,32 +128,37 @@
         true
     }
 
-    /// Fills the slots left, each time for the model with the most demand per engine that holds it.
+    /// Fills the remaining slots, each with the model that has the highest demand per replica.
     fn fill_by_demand(&mut self, models: &[&'a Model], demand: &DemandByModel) {
-        let mut open: Vec<&'a Model> = models.to_vec();
-        while let Some(model) = self.most_wanted(&open, demand) {
-            if !self.place(model) {
-                open.retain(|other| other.name != model.name);
+        let mut candidates: Vec<&'a Model> = models.to_vec();
+        while let Some(model) = self.highest_demand_per_replica(&candidates, demand) {
+            if !self.add_replica(model) {
+                candidates.retain(|other| other.name != model.name);
             }
         }
     }
 
-    fn most_wanted(&self, open: &[&'a Model], demand: &DemandByModel) -> Option<&'a Model> {
-        let wanted = |model: &Model| {
-            let copies = self
+    fn highest_demand_per_replica(
+        &self,
+        candidates: &[&'a Model],
+        demand: &DemandByModel,
+    ) -> Option<&'a Model> {
+        let demand_per_replica = |model: &Model| {
+            let replicas = self
                 .engines
                 .iter()
                 .filter(|engine| engine.models.iter().any(|other| other.name == model.name))
                 .count();
-            let copies = u32::try_from(copies).unwrap_or(u32::MAX);
-            demand.get(&model.name).copied().unwrap_or(1.0) / f64::from(copies.max(1))
+            let replicas = u32::try_from(replicas).unwrap_or(u32::MAX);
+            demand.get(&model.name).copied().unwrap_or(1.0) / f64::from(replicas.max(1))
         };
-        open.iter()
+        candidates
+            .iter()
             .copied()
-            .max_by(|left, right| wanted(left).total_cmp(&wanted(right)))
+            .max_by(|left, right| demand_per_replica(left).total_cmp(&demand_per_replica(right)))
     }
 
-    fn finish(self) -> Vec<Assignment> {
+    fn into_assignments(self) -> Vec<Assignment> {
         let assignment = |engine: PlannedEngine<'_>| {
             let mut models: Vec<LoadedModel> = engine
                 .models
