--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -1,4 +1,5 @@
-//! Tickets: a request marked not repeatable runs at most once, on the one incarnation that its ticket names.
+//! At-most-once execution of requests that must not be repeated. Such a request carries a ticket
+//! and runs only on the instance incarnation that the ticket names.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,7 +12,7 @@
 
 const SEPARATOR: char = '~';
 
-/// A ticket as callers carry it, written `instance~incarnation~epoch`.
+/// A ticket that a caller sends with a request, in the text form `instance~incarnation~epoch`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Ticket {
@@ -19,7 +20,7 @@
     pub instance: String,
     /// Incarnation of that instance.
     pub incarnation: Uuid,
-    /// Ticket epoch of that incarnation when the ticket was given out.
+    /// Ticket epoch of that incarnation when the ticket was issued.
     pub epoch: u64,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// The text is not a ticket.
+/// Error returned when a text is not a valid ticket.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a ticket; take one from /v1/entries")]
 pub struct ParseTicketError;
@@ -74,23 +75,23 @@
     }
 }
 
-/// Identity of a request marked not repeatable.
+/// Identifies a request that must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IdempotencyKey {
     /// Client account.
     pub account: String,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the caller's `Idempotency-Key` header.
     pub key: String,
 }
 
 /// Limits of a [`DedupTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TicketLimits {
-    /// Tickets up to this many epochs old are accepted.
+    /// Maximum age, in epochs, of a ticket that may run a new request.
     pub accept_epochs: u64,
-    /// Requests are remembered for tickets up to this many epochs old. Not below `accept_epochs`.
+    /// Maximum age, in epochs, of a ticket whose request is remembered. At least `accept_epochs`.
     pub remember_epochs: u64,
-    /// How many requests are remembered.
+    /// Maximum number of remembered requests.
     pub capacity: usize,
 }
 
@@ -104,99 +105,100 @@
     }
 }
 
-/// What to do with a request that carries a ticket.
+/// Decision on a request that carries a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum DedupDecision<H> {
-    /// First arrival: run it and record the answer through the handle.
+    /// First occurrence: run the request and record the answer through the handle.
     Run(H),
-    /// Later arrival: wait for, or repeat, the answer of the first.
+    /// Duplicate: wait for the answer of the first occurrence, or repeat it.
     Join(H),
-    /// The ticket names another instance: relay there.
+    /// The ticket names another instance; forward the request to it.
     Relay,
-    /// The ticket names an earlier incarnation of this instance: nobody knows whether it ran.
+    /// The ticket names an earlier incarnation of this instance; it is unknown whether the request
+    /// ran.
     IncarnationGone,
-    /// Too old to run; the memory shows that it never ran and never will.
+    /// The ticket is too old to run the request. The request has not run and will not run.
     Stale,
-    /// Too old to remember.
+    /// The ticket is older than the remembered epochs; it is unknown whether the request ran.
     Forgotten,
-    /// The memory is full; the request did not run.
+    /// The table is full. The request did not run.
     Full,
 }
 
-/// The memory of requests marked not repeatable, of one incarnation of one instance.
+/// Deduplication table for the at-most-once requests of one incarnation of one instance.
 ///
-/// `H` is the caller's handle to a running or finished answer.
+/// `H` is a handle to the running or finished answer of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DedupTable<H> {
     instance: String,
     incarnation: Uuid,
     epoch: u64,
-    /// Tickets of earlier epochs run nothing new.
-    refused_below_epoch: u64,
+    /// Tickets of earlier epochs may not run new requests.
+    min_runnable_epoch: u64,
     limits: TicketLimits,
-    /// Every request that was ever run here under a ticket not older than `limits.remember_epochs`.
-    requests: Requests<H>,
+    /// Every request that ran here with a ticket that is at most `limits.remember_epochs` old.
+    requests: RequestMap<H>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Remembered<H> {
-    /// Highest epoch of the tickets this request arrived with.
+struct RequestRecord<H> {
+    /// Highest epoch among the tickets that were sent with this request.
     epoch: u64,
-    /// Whether it was answered `not_run`.
+    /// Whether the request was answered `not_run`.
     not_run: bool,
     handle: H,
 }
 
-/// A map that hashes, so that the model checker can compare states.
+/// A map that implements `Hash`, which the model checker needs to compare states.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Requests<H>(HashMap<IdempotencyKey, Remembered<H>>);
+struct RequestMap<H>(HashMap<IdempotencyKey, RequestRecord<H>>);
 
-impl<H: std::hash::Hash> std::hash::Hash for Requests<H> {
+impl<H: std::hash::Hash> std::hash::Hash for RequestMap<H> {
     fn hash<S: std::hash::Hasher>(&self, state: &mut S) {
-        let mut all: Vec<_> = self.0.iter().collect();
-        all.sort_by(|left, right| left.0.cmp(right.0));
-        all.hash(state);
+        let mut sorted: Vec<_> = self.0.iter().collect();
+        sorted.sort_by(|left, right| left.0.cmp(right.0));
+        sorted.hash(state);
     }
 }
 
 impl<H: Clone> DedupTable<H> {
-    /// An empty memory for a new incarnation.
+    /// Creates an empty table for a new incarnation.
     #[must_use]
     pub fn new(instance: &str, incarnation: Uuid, limits: TicketLimits) -> Self {
         Self {
             instance: instance.to_owned(),
             incarnation,
             epoch: 0,
-            refused_below_epoch: 0,
+            min_runnable_epoch: 0,
             limits,
-            requests: Requests(HashMap::new()),
+            requests: RequestMap(HashMap::new()),
         }
     }
 
-    /// The epoch that new tickets carry.
+    /// Returns the epoch of new tickets.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// How many requests are remembered.
+    /// Returns the number of remembered requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.0.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether no request is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.0.is_empty()
     }
 
-    /// Handles of the requests remembered.
+    /// Returns the handles of the remembered requests.
     pub fn handles(&self) -> impl Iterator<Item = &H> {
-        self.requests.0.values().map(|kept| &kept.handle)
+        self.requests.0.values().map(|record| &record.handle)
     }
 
-    /// A ticket for this incarnation.
+    /// Issues a ticket for this incarnation in the current epoch.
     #[must_use]
     pub fn ticket(&self) -> Ticket {
         Ticket {
@@ -206,24 +208,29 @@
         }
     }
 
-    /// Starts the next epoch and forgets requests whose tickets can no longer be answered from memory.
+    /// Starts the next epoch and removes requests whose tickets are older than
+    /// [`TicketLimits::remember_epochs`].
     pub fn advance_epoch(&mut self) {
         self.epoch += 1;
-        let oldest = self.epoch.saturating_sub(self.limits.remember_epochs);
-        self.requests.0.retain(|_, kept| kept.epoch >= oldest);
+        let oldest_epoch = self.epoch.saturating_sub(self.limits.remember_epochs);
+        self.requests
+            .0
+            .retain(|_, record| record.epoch >= oldest_epoch);
     }
 
-    /// Decides on an arrival. `handle` is stored where the request runs for the first time; `has_room` is
-    /// false where the caller's own limits leave no room for another answer.
+    /// Decides whether a request may run.
     ///
-    /// A request that was answered `not_run` stays remembered, since a late copy of it may still come: only a ticket of a later
-    /// epoch may run it.
+    /// `handle` is stored if the request is to run. `has_capacity` is false if the limits of the
+    /// calling code leave no memory for another answer.
+    ///
+    /// A request that was answered `not_run` stays in the table because a delayed duplicate may
+    /// still arrive; only a ticket of a later epoch may run it.
     pub fn admit(
         &mut self,
         ticket: &Ticket,
         key: &IdempotencyKey,
         handle: H,
-        has_room: bool,
+        has_capacity: bool,
     ) -> DedupDecision<H> {
         if ticket.instance != self.instance {
             return DedupDecision::Relay;
@@ -231,53 +238,57 @@
         if ticket.incarnation != self.incarnation {
             return DedupDecision::IncarnationGone;
         }
-        let accepted = (self.first_accepted_epoch()..=self.epoch).contains(&ticket.epoch);
-        if let Some(kept) = self.requests.0.get_mut(key) {
-            let newer_after_not_run = kept.not_run && ticket.epoch > kept.epoch;
-            kept.epoch = kept.epoch.max(ticket.epoch);
-            if !(newer_after_not_run && accepted) {
-                return DedupDecision::Join(kept.handle.clone());
+        let is_accepted = (self.min_accepted_epoch()..=self.epoch).contains(&ticket.epoch);
+        if let Some(record) = self.requests.0.get_mut(key) {
+            let is_retry_after_not_run = record.not_run && ticket.epoch > record.epoch;
+            record.epoch = record.epoch.max(ticket.epoch);
+            if !(is_retry_after_not_run && is_accepted) {
+                return DedupDecision::Join(record.handle.clone());
             }
-            kept.not_run = false;
-            kept.handle = handle.clone();
+            record.not_run = false;
+            record.handle = handle.clone();
             return DedupDecision::Run(handle);
         }
         if self.epoch.saturating_sub(ticket.epoch) > self.limits.remember_epochs {
             return DedupDecision::Forgotten;
         }
-        if !accepted {
+        if !is_accepted {
             return DedupDecision::Stale;
         }
-        if !has_room || self.requests.0.len() >= self.limits.capacity {
-            return self.refuse_full();
+        if !has_capacity || self.requests.0.len() >= self.limits.capacity {
+            return self.reject_when_full();
         }
-        let kept = Remembered {
+        let record = RequestRecord {
             epoch: ticket.epoch,
             not_run: false,
             handle: handle.clone(),
         };
-        self.requests.0.insert(key.clone(), kept);
+        self.requests.0.insert(key.clone(), record);
         DedupDecision::Run(handle)
     }
 
     /// Records that a request that got [`DedupDecision::Run`] was answered `not_run`.
     pub fn record_not_run(&mut self, key: &IdempotencyKey) {
-        if let Some(kept) = self.requests.0.get_mut(key) {
-            kept.not_run = true;
+        if let Some(record) = self.requests.0.get_mut(key) {
+            record.not_run = true;
         }
     }
 
-    fn first_accepted_epoch(&self) -> u64 {
+    /// Returns the oldest epoch whose tickets may run new requests.
+    fn min_accepted_epoch(&self) -> u64 {
         self.epoch
             .saturating_sub(self.limits.accept_epochs)
-            .max(self.refused_below_epoch)
+            .max(self.min_runnable_epoch)
     }
 
-    /// The refused request cannot be remembered, so every ticket given out so far is refused from now on: otherwise a late
-    /// copy could run after its caller was told that it did not.
-    fn refuse_full(&mut self) -> DedupDecision<H> {
+    /// Rejects a request because the table is full.
+    ///
+    /// The rejected request cannot be remembered, so no ticket issued so far may run a new request
+    /// from now on. Otherwise a delayed duplicate could run after the caller got the answer
+    /// `not_run`.
+    fn reject_when_full(&mut self) -> DedupDecision<H> {
         self.advance_epoch();
-        self.refused_below_epoch = self.epoch;
+        self.min_runnable_epoch = self.epoch;
         DedupDecision::Full
     }
 }
