--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may serve a request and at what priority, from the published objects.
+//! Evaluates the published rules: which endpoints may serve a request, and at what priority.
 
 use std::collections::HashMap;
 
@@ -9,12 +9,12 @@
 };
 use crate::error::{Error, ErrorKind, Result};
 
-/// What a request asks for.
+/// What a request wants to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Workload<'a> {
-    /// A generation by a model.
+    /// A generation by the model of this name.
     Model(&'a str),
-    /// A call of a plain service.
+    /// A call of the plain service of this name.
     Service(&'a str),
 }
 
@@ -23,15 +23,16 @@
 pub struct AllowedEndpoint {
     /// Index into [`Catalog::endpoints`].
     pub index: usize,
-    /// Highest priority among the rules that match.
+    /// Highest priority among the matching rules.
     pub priority: i32,
 }
 
-/// The objects in force, indexed for routing. Rebuilt at each change of configuration.
+/// Index over the published objects for routing. Rebuilt after each configuration change.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
-    /// Endpoints, by name.
+    /// Endpoints, sorted by name.
     pub endpoints: Vec<Endpoint>,
+    /// Labels of `endpoints`, including the implied ones, at the same indices.
     endpoint_labels: Vec<Labels>,
     accounts_by_key: HashMap<String, ClientAccount>,
     models: HashMap<String, Model>,
@@ -39,17 +40,17 @@
 }
 
 impl Catalog {
-    /// Indexes a state.
+    /// Creates an index over the objects of a configuration state.
     #[must_use]
     pub fn new(state: &ConfigState) -> Self {
         let mut catalog = Self::default();
-        for held in state.objects.values() {
-            catalog.add(state, &held.object);
+        for versioned in state.objects.values() {
+            catalog.insert(state, &versioned.object);
         }
         catalog
     }
 
-    fn add(&mut self, state: &ConfigState, object: &Object) {
+    fn insert(&mut self, state: &ConfigState, object: &Object) {
         match object {
             Object::Hall(_) => {}
             Object::Endpoint(endpoint) => {
@@ -67,10 +68,10 @@
         }
     }
 
-    /// The client account of a bearer key.
+    /// Returns the client account of a bearer key.
     ///
     /// # Errors
-    /// `Unauthorized` where no account has the key.
+    /// Returns `Unauthorized` if no account has the key.
     pub fn account_for_key(&self, bearer_key: &str) -> Result<&ClientAccount> {
         let hash = blake3::hash(bearer_key.as_bytes()).to_hex();
         self.accounts_by_key.get(hash.as_str()).ok_or_else(|| {
@@ -81,10 +82,10 @@
         })
     }
 
-    /// A model by name.
+    /// Returns the model of a name.
     ///
     /// # Errors
-    /// `UnknownModel` where it is not published.
+    /// Returns `UnknownModel` if no model of that name is published.
     pub fn model(&self, name: &str) -> Result<&Model> {
         self.models.get(name).ok_or_else(|| {
             Error::new(
@@ -94,12 +95,12 @@
         })
     }
 
-    /// All models.
+    /// Returns all models, in no particular order.
     pub fn models(&self) -> impl Iterator<Item = &Model> {
         self.models.values()
     }
 
-    /// An endpoint by name.
+    /// Returns the endpoint of a name, or `None` if it is not published.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         let found = self
@@ -108,10 +109,11 @@
         found.ok().map(|index| &self.endpoints[index])
     }
 
-    /// The endpoints that may serve the work for the account.
+    /// Returns the endpoints that may serve a workload of an account.
     ///
     /// # Errors
-    /// `UnknownModel`, `UnknownService` or `NotAllowed`.
+    /// Returns `UnknownModel` or `UnknownService` if the workload is not published, and
+    /// `NotAllowed` if no rule allows it on any endpoint.
     pub fn allowed_endpoints(
         &self,
         account: &ClientAccount,
@@ -127,8 +129,8 @@
             })
             .collect();
         let allowed: Vec<AllowedEndpoint> = (0..self.endpoints.len())
-            .filter(|&index| serves(&self.endpoints[index], work))
-            .filter_map(|index| self.priority(&rules, index))
+            .filter(|&index| can_serve(&self.endpoints[index], work))
+            .filter_map(|index| self.match_endpoint(&rules, index))
             .collect();
         if allowed.is_empty() {
             return Err(Error::new(
@@ -139,7 +141,7 @@
         Ok(allowed)
     }
 
-    /// Whether any rule lets any account run the model on the endpoint.
+    /// Returns whether any rule allows any account to run the model on the endpoint.
     #[must_use]
     pub fn can_host_model(&self, model: &Model, endpoint: &Endpoint) -> bool {
         let Ok(work_labels) = self.work_labels(Workload::Model(&model.name)) else {
@@ -153,7 +155,8 @@
         })
     }
 
-    fn priority(&self, rules: &[&Rule], index: usize) -> Option<AllowedEndpoint> {
+    /// Returns the endpoint at `index` with its priority, or `None` if no rule matches it.
+    fn match_endpoint(&self, rules: &[&Rule], index: usize) -> Option<AllowedEndpoint> {
         rules
             .iter()
             .filter(|rule| rule.endpoints.matches(&self.endpoint_labels[index]))
@@ -162,13 +165,14 @@
             .map(|priority| AllowedEndpoint { index, priority })
     }
 
+    /// Returns the labels of a workload, including the implied one with its name.
     fn work_labels(&self, work: Workload<'_>) -> Result<Labels> {
         match work {
             Workload::Model(name) => Ok(self.model(name)?.labels.with_label("model", name)),
             Workload::Service(name) => {
-                let known = self.endpoints.iter().any(|e| serves(e, work));
+                let is_published = self.endpoints.iter().any(|e| can_serve(e, work));
                 let labels = Labels::default().with_label("service", name);
-                known.then_some(labels).ok_or_else(|| {
+                is_published.then_some(labels).ok_or_else(|| {
                     Error::new(
                         ErrorKind::UnknownService,
                         format!("service {name:?} is not published"),
@@ -179,7 +183,8 @@
     }
 }
 
-fn serves(endpoint: &Endpoint, work: Workload<'_>) -> bool {
+/// Returns whether the role of an endpoint fits a workload.
+fn can_serve(endpoint: &Endpoint, work: Workload<'_>) -> bool {
     match (&endpoint.role, work) {
         (EndpointRole::Engine { .. }, Workload::Model(_)) => true,
         (EndpointRole::Service { service }, Workload::Service(name)) => service == name,
@@ -187,13 +192,18 @@
     }
 }
 
-/// The endpoint's labels with the implied ones: its name, its hall and the hall's region.
+/// Returns the labels of an endpoint with the implied ones: its name, its hall and the hall's
+/// region.
 fn endpoint_labels(state: &ConfigState, endpoint: &Endpoint) -> Labels {
     let hall_key = ObjectKey {
         kind: ObjectKind::Hall,
         name: endpoint.hall.clone(),
     };
-    let region = match state.objects.get(&hall_key).map(|held| &held.object) {
+    let region = match state
+        .objects
+        .get(&hall_key)
+        .map(|versioned| &versioned.object)
+    {
         Some(Object::Hall(hall)) => hall.region.as_str(),
         _ => "",
     };
