--- a/src/kernel/label.rs
+++ b/src/kernel/label.rs
@@ -1,10 +1,10 @@
-//! Labels and the selectors over them.
+//! Labels of objects, and selectors that match them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// Labels of one object: key to value.
+/// Labels of an object: a map from key to value.
 #[derive(
     Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema,
 )]
@@ -12,13 +12,13 @@
 pub struct Labels(pub BTreeMap<String, String>);
 
 impl Labels {
-    /// The value of a label.
+    /// Returns the value of a label.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
-    /// A copy with one more label; an existing value is replaced.
+    /// Returns a copy with one label added or replaced.
     #[must_use]
     pub fn with_label(&self, key: &str, value: &str) -> Self {
         let mut labels = self.clone();
@@ -27,25 +27,25 @@
     }
 }
 
-/// A condition over labels. All parts must hold; the empty selector matches everything.
+/// A condition on labels. All parts must hold; the empty selector matches everything.
 #[derive(
     Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema,
 )]
 #[serde(default, deny_unknown_fields)]
 pub struct Selector {
-    /// Each label must have exactly this value.
+    /// Labels that must have exactly the given value.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub equals: BTreeMap<String, String>,
-    /// Each label must have one of these values.
+    /// Labels that must have one of the given values.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub any_of: BTreeMap<String, BTreeSet<String>>,
-    /// None of these labels may be present.
+    /// Labels that must not be present.
     #[serde(skip_serializing_if = "BTreeSet::is_empty")]
     pub absent: BTreeSet<String>,
 }
 
 impl Selector {
-    /// Whether the labels satisfy every part.
+    /// Returns whether the labels satisfy the condition.
     #[must_use]
     pub fn matches(&self, labels: &Labels) -> bool {
         let equals = self
--- a/src/kernel/object.rs
+++ b/src/kernel/object.rs
@@ -1,4 +1,4 @@
-//! The labelled objects that operators publish, and the checks that need nothing but the object.
+//! The configuration objects that operators publish, and the validation of a single object.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 const NAME_MAX_BYTES: usize = 100;
 
-/// A published object.
+/// A configuration object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 #[non_exhaustive]
@@ -17,44 +17,45 @@
     Hall(Hall),
     /// A back end.
     Endpoint(Endpoint),
-    /// A model and the version in force.
+    /// A model and its current version.
     Model(Model),
     /// A client account.
     ClientAccount(ClientAccount),
-    /// Which work may run where, and at what priority.
+    /// A routing rule.
     Rule(Rule),
 }
 
-/// A hall: instances and endpoints close to each other.
+/// A hall (zone): instances and endpoints that are located close to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
-    /// Unique among halls.
+    /// Name, unique among halls.
     pub name: String,
-    /// For selectors.
+    /// Labels for selectors.
     #[serde(default)]
     pub labels: Labels,
-    /// Region the hall lies in.
+    /// Region of the hall.
     pub region: String,
 }
 
-/// What an endpoint serves.
+/// Role of an endpoint: model engine or plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(tag = "type", rename_all = "snake_case", deny_unknown_fields)]
 pub enum EndpointRole {
     /// A model engine.
     Engine {
-        /// Memory for keys and values, in tokens. Positive.
+        /// Capacity of the KV cache, in tokens. Must be positive.
         kv_capacity_tokens: u64,
-        /// How many models fit at once. Positive.
+        /// Number of models that can be loaded at the same time. Must be positive.
         #[serde(default = "one")]
         model_slots: u32,
-        /// Whether the engine refuses orders with a fence older than one it has seen.
+        /// Whether the engine rejects orders whose fencing token is older than the newest it has
+        /// seen.
         checks_fence: bool,
     },
     /// A plain service.
     Service {
-        /// Name that callers use in the path.
+        /// Name of the service in the request path.
         service: String,
     },
 }
@@ -63,22 +64,22 @@
     1
 }
 
-/// A back end: model engine or plain service.
+/// A back end: a model engine or a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 pub struct Endpoint {
-    /// Unique among endpoints.
+    /// Name, unique among endpoints.
     pub name: String,
-    /// For selectors; `hall` and `endpoint` are implied.
+    /// Labels for selectors. The labels `endpoint`, `hall` and `region` are implied.
     #[serde(default)]
     pub labels: Labels,
-    /// Name of a published hall.
+    /// Name of the hall; it must be published.
     pub hall: String,
     /// IP address and port.
     pub address: String,
-    /// Plug-in that speaks to it.
+    /// Name of the plug-in that implements the endpoint's protocol.
     #[serde(default = "http_plugin")]
     pub plugin: String,
-    /// What it serves.
+    /// Role of the endpoint.
     #[serde(flatten)]
     pub role: EndpointRole,
 }
@@ -91,21 +92,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Unique among models.
+    /// Name, unique among models.
     pub name: String,
-    /// For selectors; `model` is implied.
+    /// Labels for selectors. The label `model` is implied.
     #[serde(default)]
     pub labels: Labels,
-    /// Version that new generations use.
+    /// Version used for new generations.
     pub version: String,
     /// Size of the weights, in bytes.
     pub weights_bytes: u64,
-    /// Longest output, in tokens. Positive.
+    /// Maximum output length, in tokens. Must be positive.
     pub max_output_tokens: u32,
-    /// Whether the same seed and version give the same tokens on every engine.
+    /// Whether the same seed and version produce the same tokens on every engine.
     #[serde(default)]
     pub reproducible: bool,
-    /// Endpoints that should hold the model at least, per hall.
+    /// Minimum number of endpoints per hall that should have the model loaded.
     #[serde(default = "one")]
     pub replicas_per_hall: u32,
 }
@@ -114,39 +115,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Unique among client accounts.
+    /// Name, unique among client accounts.
     pub name: String,
-    /// For selectors; `account` is implied.
+    /// Labels for selectors. The label `account` is implied.
     #[serde(default)]
     pub labels: Labels,
-    /// BLAKE3 hash of the bearer key, in hexadecimal. The key itself is never published.
+    /// BLAKE3 hash of the bearer key, in hexadecimal. The key itself is not published.
     pub key_blake3: String,
-    /// Share of crowded engines relative to other accounts. Positive.
+    /// Weight of the account relative to others when engines are fully used. Must be positive.
     #[serde(default = "one")]
     pub share: u32,
 }
 
-/// Which work may run where, and at what priority.
+/// A routing rule: which workloads of which accounts may run on which endpoints, and at what
+/// priority.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Unique among rules.
+    /// Name, unique among rules.
     pub name: String,
-    /// Client accounts it applies to.
+    /// Selects client accounts.
     #[serde(default)]
     pub accounts: Selector,
-    /// Work it applies to: labels of the model, or `service` = name.
+    /// Selects workloads: by the labels of the model, or by the label `service` with the name of
+    /// the service.
     #[serde(default)]
     pub work: Selector,
-    /// Endpoints the work may run on.
+    /// Selects the endpoints on which the workloads may run.
     #[serde(default)]
     pub endpoints: Selector,
-    /// Higher goes first. Where several rules match an endpoint, the highest counts.
+    /// Priority; higher values are served first. If several rules match an endpoint, the highest
+    /// priority applies.
     #[serde(default)]
     pub priority: i32,
 }
 
-/// Kind of an object.
+/// Kind of a configuration object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
@@ -162,13 +166,13 @@
     Rule,
 }
 
-/// Identity of an object. Written `kind/name`.
+/// Key of a configuration object, in the text form `kind/name`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ObjectKey {
-    /// Kind.
+    /// Kind of the object.
     pub kind: ObjectKind,
-    /// Name, unique within the kind.
+    /// Name of the object, unique within its kind.
     pub name: String,
 }
 
@@ -200,15 +204,15 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
-        let problem = || format!("object key {text:?} is not kind/name");
-        let (kind, name) = text.split_once('/').ok_or_else(problem)?;
+        let malformed = || format!("object key {text:?} is not kind/name");
+        let (kind, name) = text.split_once('/').ok_or_else(malformed)?;
         let kind = match kind {
             "hall" => ObjectKind::Hall,
             "endpoint" => ObjectKind::Endpoint,
             "model" => ObjectKind::Model,
             "client_account" => ObjectKind::ClientAccount,
             "rule" => ObjectKind::Rule,
-            _ => return Err(problem()),
+            _ => return Err(malformed()),
         };
         Ok(Self {
             kind,
@@ -217,14 +221,14 @@
     }
 }
 
-/// A field that fails a check.
+/// A field that failed validation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InvalidField {
-    /// Which object.
+    /// Key of the object, as text.
     pub object: String,
-    /// Which field.
+    /// Name of the field.
     pub field: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -239,7 +243,7 @@
 }
 
 impl Object {
-    /// The object's identity.
+    /// Returns the key of the object.
     #[must_use]
     pub fn key(&self) -> ObjectKey {
         let (kind, name) = match self {
@@ -255,10 +259,10 @@
         }
     }
 
-    /// Checks that need no other object. Gives the first field at fault.
+    /// Validates the fields of the object, without regard to other objects.
     ///
     /// # Errors
-    /// The field and what is allowed there.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), InvalidField> {
         let key = self.key();
         let fail = |field: &str, allowed: &str| {
@@ -315,7 +319,9 @@
     }
 }
 
-/// Whether the text can name an object: it stands in paths, tickets and event ids.
+/// Returns whether the text is a valid object name.
+///
+/// The character set is restricted because names occur in paths, tickets and event ids.
 #[must_use]
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |byte: u8| {
