--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -192,7 +192,7 @@
 /// Records that the state still needs have expired from the log, and no snapshot replaces them.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "log records from offset {next_offset} to before {first_retained} have expired and no usable snapshot was found"
+    "log records {next_offset}..{first_retained} have expired and no usable snapshot was found"
 )]
 pub struct LogGap {
     /// Next offset that the state needs.
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -1,5 +1,5 @@
-//! Admission control for a group of endpoints, run by the owner of the group: reservations, predicted
-//! KV-cache memory use and a bounded fair queue.
+//! Admission control for a group of endpoints, run by the owner of the group: reservations,
+//! predicted KV-cache memory use and a bounded fair queue.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
--- a/src/kernel/placement.rs
+++ b/src/kernel/placement.rs
@@ -1,5 +1,5 @@
-//! Assigns models to the engines of a hall: first the declared replicas, within the rules, then further
-//! replicas by recent demand.
+//! Assigns models to the engines of a hall, within the rules: first the declared replicas, then
+//! further replicas by recent demand.
 
 use std::collections::BTreeMap;
 
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -1,5 +1,5 @@
-//! Routing policies: plug-ins that choose an endpoint for a generation. `profile` is the default; the
-//! others are baselines to compare with.
+//! Routing policies: plug-ins that choose an endpoint for a generation. `profile` is the default;
+//! the others are baselines to compare with.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
