--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -1,4 +1,4 @@
-//! The configuration fold's verdicts.
+//! Verdicts of the configuration state machine on publishes, and verification of snapshots.
 
 use larkwick::kernel::config::{
     Change, ChangeAction, ConfigFold, Publish, Record, RecordEffect, Verdict,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn publish_endpoint_without_hall_rejected() {
+fn publish_endpoint_with_unknown_hall_rejected() {
     let mut fold = ConfigFold::default();
     let change = put(&fold, &service());
     assert!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn publish_endpoint_with_its_hall_in_any_order_accepted() {
+fn publish_endpoint_together_with_its_hall_accepted_in_any_order() {
     for hall_first in [true, false] {
         let mut fold = ConfigFold::default();
         let mut changes = vec![put(&fold, &hall()), put(&fold, &service())];
@@ -71,19 +71,22 @@
 }
 
 #[test]
-fn publish_delete_hall_in_use_rejected_with_its_endpoint_accepted() {
+fn publish_delete_of_hall_in_use_rejected_unless_its_endpoint_is_deleted_too() {
     let mut fold = ConfigFold::default();
     let changes = vec![put(&fold, &hall()), put(&fold, &service())];
     assert_eq!(publish(&mut fold, changes), Verdict::Accepted);
-    let alone = vec![delete(&fold, "hall/h")];
-    assert!(matches!(publish(&mut fold, alone), Verdict::Invalid(_)));
-    let both = vec![delete(&fold, "hall/h"), delete(&fold, "endpoint/s")];
-    assert_eq!(publish(&mut fold, both), Verdict::Accepted);
+    let delete_hall_only = vec![delete(&fold, "hall/h")];
+    assert!(matches!(
+        publish(&mut fold, delete_hall_only),
+        Verdict::Invalid(_)
+    ));
+    let delete_both = vec![delete(&fold, "hall/h"), delete(&fold, "endpoint/s")];
+    assert_eq!(publish(&mut fold, delete_both), Verdict::Accepted);
     assert!(fold.state().objects.is_empty());
 }
 
 #[test]
-fn publish_stale_revision_conflict_nothing_of_it_in_force() {
+fn publish_with_stale_revision_conflicts_and_changes_nothing() {
     let mut fold = ConfigFold::default();
     let stale = put(&fold, &hall());
     let change = put(&fold, &hall());
@@ -100,24 +103,24 @@
 }
 
 #[test]
-fn snapshot_of_another_state_noticed() {
+fn snapshot_with_other_digest_detected() {
     let mut fold = ConfigFold::default();
     let change = put(&fold, &hall());
     publish(&mut fold, vec![change]);
-    let mut forged = fold.snapshot("other");
-    let applied = fold
+    let mut snapshot = fold.snapshot("other");
+    let effect = fold
         .clone()
-        .apply(Some(&Record::Snapshot(Box::new(forged.clone()))));
+        .apply(Some(&Record::Snapshot(Box::new(snapshot.clone()))));
     assert_eq!(
-        applied,
+        effect,
         RecordEffect::Snapshot {
             digest_matches: Some(true)
         }
     );
-    forged.digest = "something else".to_owned();
-    let applied = fold.apply(Some(&Record::Snapshot(Box::new(forged))));
+    snapshot.digest = "something else".to_owned();
+    let effect = fold.apply(Some(&Record::Snapshot(Box::new(snapshot))));
     assert_eq!(
-        applied,
+        effect,
         RecordEffect::Snapshot {
             digest_matches: Some(false)
         }
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -1,4 +1,4 @@
-//! The group ledger: places, the queue, refusals and lapses.
+//! The group ledger: grants, the queue, refusals and expired reservations.
 
 use std::time::Duration;
 
@@ -56,13 +56,16 @@
     ledger.process_queue(now, &mut random())
 }
 
-fn granted(settled: &[QueueDecision]) -> Vec<u128> {
-    let granted = settled.iter().filter(|one| one.result.is_ok());
-    granted.map(|one| one.reservation_id.as_u128()).collect()
+/// Returns the ids of the requests that were granted.
+fn granted_ids(decisions: &[QueueDecision]) -> Vec<u128> {
+    let granted = decisions.iter().filter(|decision| decision.result.is_ok());
+    granted
+        .map(|decision| decision.reservation_id.as_u128())
+        .collect()
 }
 
 #[test]
-fn reserve_second_copy_same_grant() {
+fn reserve_duplicate_gets_same_grant() {
     let mut ledger = ledger("fixed_reservation");
     for _ in 0..2 {
         let decision = reserve(&mut ledger, &request(1, "a", 0), 1);
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn reserve_full_waits_until_release() {
+fn reserve_on_full_endpoint_queued_until_release() {
     let mut ledger = ledger("fixed_reservation");
     assert!(matches!(
         reserve(&mut ledger, &request(1, "a", 0), 1),
@@ -84,38 +87,39 @@
     ));
     assert!(process_queue(&mut ledger, 1_100).is_empty());
     ledger.release(Uuid::from_u128(1));
-    assert_eq!(granted(&process_queue(&mut ledger, 1_200)), [2]);
+    assert_eq!(granted_ids(&process_queue(&mut ledger, 1_200)), [2]);
 }
 
 #[test]
-fn reserve_must_not_wait_refused_at_once_with_time() {
+fn reserve_with_zero_deadline_refused_with_retry_after() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
-    let mut hurried = request(2, "a", 0);
-    hurried.deadline = Duration::ZERO;
-    let Decision::Refused(error) = reserve(&mut ledger, &hurried, 1) else {
-        panic!("it must not wait");
+    let mut no_wait = request(2, "a", 0);
+    no_wait.deadline = Duration::ZERO;
+    let Decision::Refused(error) = reserve(&mut ledger, &no_wait, 1) else {
+        panic!("a request with a zero deadline must not be queued");
     };
     assert_eq!(error.kind, ErrorKind::Crowded);
     assert!(error.retry_after > Some(Duration::ZERO));
 }
 
 #[test]
-fn queue_priority_then_account_that_used_least() {
+fn queue_ordered_by_priority_then_least_account_usage() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "greedy", 0), 1);
-    // The greedy account asked first; the modest one used nothing yet; the urgent one goes before both.
+    // Request 2 was queued first, but account "greedy" already has usage and "modest" has none.
+    // Request 4 has the highest priority.
     reserve(&mut ledger, &request(2, "greedy", 0), 1);
     reserve(&mut ledger, &request(3, "modest", 0), 1);
     reserve(&mut ledger, &request(4, "greedy", 9), 1);
     for (release, next) in [(1, 4), (4, 3), (3, 2)] {
         ledger.release(Uuid::from_u128(release));
-        assert_eq!(granted(&process_queue(&mut ledger, 1_200)), [next]);
+        assert_eq!(granted_ids(&process_queue(&mut ledger, 1_200)), [next]);
     }
 }
 
 #[test]
-fn queue_waiting_request_not_overtaken_by_newcomer() {
+fn queue_new_request_does_not_overtake_queued_request() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
     reserve(&mut ledger, &request(2, "a", 0), 1);
@@ -127,14 +131,17 @@
 }
 
 #[test]
-fn queue_wait_bounded_then_refused() {
+fn queue_request_refused_after_maximum_wait() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
     reserve(&mut ledger, &request(2, "a", 0), 1);
     assert!(process_queue(&mut ledger, 5_900).is_empty());
-    let settled = process_queue(&mut ledger, 6_000);
-    let refused = settled[0].result.as_ref().expect_err("the wait is over");
-    assert_eq!(refused.kind, ErrorKind::Crowded);
+    let decisions = process_queue(&mut ledger, 6_000);
+    let error = decisions[0]
+        .result
+        .as_ref()
+        .expect_err("the maximum wait has passed");
+    assert_eq!(error.kind, ErrorKind::Crowded);
 }
 
 #[test]
@@ -154,20 +161,20 @@
 }
 
 #[test]
-fn queue_deadline_that_cannot_be_met_refused_at_once() {
+fn queue_request_with_unreachable_deadline_refused_at_once() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
     reserve(&mut ledger, &request(2, "a", 0), 1);
-    let mut late = request(3, "a", 0);
-    late.deadline = Duration::from_millis(1);
-    let Decision::Refused(error) = reserve(&mut ledger, &late, 1) else {
-        panic!("it cannot be in time");
+    let mut short_deadline = request(3, "a", 0);
+    short_deadline.deadline = Duration::from_millis(1);
+    let Decision::Refused(error) = reserve(&mut ledger, &short_deadline, 1) else {
+        panic!("the expected wait exceeds the deadline");
     };
     assert_eq!(error.kind, ErrorKind::DeadlineExceeded);
 }
 
 #[test]
-fn expire_silent_entry_lapses_and_names_generation() {
+fn expire_reservation_without_reports_returns_its_generation() {
     let mut ledger = ledger("fixed_reservation");
     reserve(&mut ledger, &request(1, "a", 0), 1);
     ledger.record_progress(
@@ -181,17 +188,17 @@
             .expire_reservations(Duration::from_secs(12))
             .is_empty()
     );
-    let lapsed = ledger.expire_reservations(Duration::from_millis(12_001));
-    assert_eq!(lapsed[0].generation.as_deref(), Some("e1~x~1"));
+    let expired = ledger.expire_reservations(Duration::from_millis(12_001));
+    assert_eq!(expired[0].generation.as_deref(), Some("e1~x~1"));
     assert_eq!(ledger.summary().streams, 0);
 }
 
 #[test]
-fn remove_endpoint_no_new_work() {
+fn remove_endpoint_gets_no_new_work() {
     let mut ledger = ledger("fixed_reservation");
     ledger.remove_endpoint("e1");
     let Decision::Refused(error) = reserve(&mut ledger, &request(1, "a", 0), 1) else {
-        panic!("the endpoint is gone");
+        panic!("a removed endpoint was granted");
     };
     assert_eq!(error.kind, ErrorKind::NoEndpoint);
 }
@@ -210,7 +217,7 @@
 }
 
 #[test]
-fn report_preemptions_lower_the_fill_limit() {
+fn load_report_with_preemptions_lowers_fill_limit() {
     let mut ledger = ledger("profile");
     let fill_limit = |ledger: &GroupLedger| ledger.summary().endpoints[0].fill_limit;
     ledger.record_load_report("e1", &report(0));
@@ -226,7 +233,7 @@
 }
 
 #[test]
-fn profile_admits_more_than_declared_maximum_once_lengths_are_known() {
+fn profile_policy_admits_more_than_declared_maximum_once_lengths_are_known() {
     let mut ledger = ledger("profile");
     for id in 1..200 {
         reserve(&mut ledger, &request(id, "a", 0), 1);
@@ -235,19 +242,20 @@
         ledger.release(Uuid::from_u128(id));
         process_queue(&mut ledger, 2_000);
     }
-    let places = (1_000..1_020).filter(|id| {
+    let granted = (1_000..1_020).filter(|id| {
         matches!(
             reserve(&mut ledger, &request(*id, "a", 0), 3),
             Decision::Granted(_)
         )
     });
-    // 120 tokens each in 1,000 make eight or nine, to the table's buckets; by the declared maximum there would be room for one.
-    let places = places.count();
-    assert!((5..=9).contains(&places), "{places}");
+    // Streams of 120 tokens fit 8 or 9 times into 1,000 tokens, within the resolution of the length
+    // table's buckets. By the declared maximum of 900 tokens only one stream would fit.
+    let granted = granted.count();
+    assert!((5..=9).contains(&granted), "{granted}");
 }
 
 #[test]
-fn retry_budget_share_of_first_tries() {
+fn retry_budget_limited_to_share_of_first_attempts() {
     let mut budget = RetryBudget::default();
     while budget.take_retry() {}
     for _ in 0..100 {
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -1,4 +1,4 @@
-//! Rules and placement from published objects.
+//! Evaluation of rules and placement of models, from published objects.
 
 use std::collections::BTreeMap;
 
@@ -51,31 +51,35 @@
     ])
 }
 
+/// Three live engines without loaded models.
 fn all_live() -> BTreeMap<String, Vec<LoadedModel>> {
     ["e1", "e2", "e3"]
         .map(|name| (name.to_owned(), Vec::new()))
         .into()
 }
 
-fn placed(plan: &[larkwick::kernel::placement::Assignment]) -> BTreeMap<&str, Vec<&str>> {
+/// Returns the names of the planned models by endpoint.
+fn models_by_endpoint(
+    plan: &[larkwick::kernel::placement::Assignment],
+) -> BTreeMap<&str, Vec<&str>> {
     plan.iter()
-        .map(|one| {
+        .map(|assignment| {
             (
-                one.endpoint.as_str(),
-                one.models.iter().map(|m| m.name.as_str()).collect(),
+                assignment.endpoint.as_str(),
+                assignment.models.iter().map(|m| m.name.as_str()).collect(),
             )
         })
         .collect()
 }
 
 #[test]
-fn allowed_highest_priority_of_matching_rules() {
+fn allowed_endpoints_have_highest_priority_of_matching_rules() {
     let catalog = catalog(&site());
     let account = catalog.account_for_key("k").expect("account");
     let allowed = catalog
         .allowed_endpoints(account, Workload::Model("chat"))
         .expect("allowed");
-    let priorities: Vec<i32> = allowed.iter().map(|one| one.priority).collect();
+    let priorities: Vec<i32> = allowed.iter().map(|endpoint| endpoint.priority).collect();
     assert_eq!(priorities, [5, 1, 1]);
     let allowed = catalog
         .allowed_endpoints(account, Workload::Model("batch"))
@@ -89,47 +93,47 @@
 }
 
 #[test]
-fn plan_rules_and_replicas_respected() {
+fn plan_respects_rules_and_replicas() {
     let catalog = catalog(&site());
     let plan = plan_hall(&catalog, "h", &DemandByModel::new(), &all_live());
-    let placed = placed(&plan);
-    assert_eq!(placed["e1"], ["chat"], "batch may not run there");
-    assert!(placed.values().any(|models| models == &["batch"]));
+    let planned = models_by_endpoint(&plan);
+    assert_eq!(planned["e1"], ["chat"], "no rule lets batch run on e1");
+    assert!(planned.values().any(|models| models == &["batch"]));
 }
 
 #[test]
-fn plan_slots_left_follow_demand() {
+fn plan_fills_remaining_slots_by_demand() {
     let catalog = catalog(&site());
-    for (wanted, other) in [("chat", "batch"), ("batch", "chat")] {
-        let demand: DemandByModel = [(wanted.to_owned(), 1000.0), (other.to_owned(), 1.0)].into();
+    for (popular, other) in [("chat", "batch"), ("batch", "chat")] {
+        let demand: DemandByModel = [(popular.to_owned(), 1000.0), (other.to_owned(), 1.0)].into();
         let plan = plan_hall(&catalog, "h", &demand, &all_live());
-        let copies = plan
+        let replicas = plan
             .iter()
-            .filter(|one| one.models[0].name == wanted)
+            .filter(|assignment| assignment.models[0].name == popular)
             .count();
-        assert_eq!(copies, 2, "{wanted}: {plan:?}");
+        assert_eq!(replicas, 2, "{popular}: {plan:?}");
     }
 }
 
 #[test]
-fn plan_same_again_moves_nothing() {
+fn plan_is_stable_once_models_are_loaded() {
     let catalog = catalog(&site());
     let first = plan_hall(&catalog, "h", &DemandByModel::new(), &all_live());
-    let held = first
+    let loaded = first
         .iter()
-        .map(|one| (one.endpoint.clone(), one.models.clone()))
+        .map(|assignment| (assignment.endpoint.clone(), assignment.models.clone()))
         .collect();
     assert_eq!(
-        plan_hall(&catalog, "h", &DemandByModel::new(), &held),
+        plan_hall(&catalog, "h", &DemandByModel::new(), &loaded),
         first
     );
 }
 
 #[test]
-fn plan_dead_engine_gets_nothing() {
+fn plan_omits_engine_that_is_not_live() {
     let catalog = catalog(&site());
     let mut live = all_live();
     live.remove("e2");
     let plan = plan_hall(&catalog, "h", &DemandByModel::new(), &live);
-    assert!(plan.iter().all(|one| one.endpoint != "e2"));
+    assert!(plan.iter().all(|assignment| assignment.endpoint != "e2"));
 }
