--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel's decisions, one by one, on a clock moved by hand.
+//! Unit tests of the kernel's decisions, on a manual clock.
 
 #[path = "kernel/cold.rs"]
 mod cold;
@@ -12,6 +12,8 @@
 mod fleet;
 #[path = "kernel/freshness.rs"]
 mod freshness;
+#[path = "kernel/gateway_decisions.rs"]
+mod gateway_decisions;
 #[path = "kernel/group.rs"]
 mod group;
 #[path = "kernel/hall.rs"]
@@ -44,8 +46,6 @@
 mod routes;
 #[path = "kernel/sharers.rs"]
 mod sharers;
-#[path = "kernel/site_rules.rs"]
-mod site_rules;
 #[path = "kernel/standings.rs"]
 mod standings;
 #[path = "kernel/store_contact.rs"]
--- a/tests/kernel/site_rules.rs
+++ b/tests/kernel/gateway_decisions.rs
@@ -1,4 +1,5 @@
-//! Small decisions of the gateway: readers, retry allowance, health, whole events.
+//! Smaller decisions of the gateway: store readers, role owners, retry budgets, endpoint health and
+//! splitting of event streams.
 
 use std::time::Duration;
 
@@ -10,28 +11,28 @@
 use larkwick::kernel::roles::{self, MemberCapacity, ReaderPlan};
 use proptest::prelude::*;
 
-/// The readers that ask the store, in the order in which a member asks them.
+/// Returns the members that read from the store, in the order in which `member` contacts them.
 fn readers_for(member: &str, members: &[MemberCapacity]) -> Vec<String> {
     ReaderPlan::new(member, members).groups.remove(0)
 }
 
-/// The owner of a service's engines.
+/// Returns the owner of the engines of a service.
 fn owner(service: &str, members: &[MemberCapacity]) -> Option<String> {
     let view = LiveView::new("a", live(members));
     view.owner(service).map(|owner| owner.name.clone())
 }
 
 fn live(members: &[MemberCapacity]) -> Vec<LiveMember> {
-    let live = members.iter().map(|(name, capacity_cores)| LiveMember {
+    let live_members = members.iter().map(|(name, capacity_cores)| LiveMember {
         name: (*name).to_owned(),
         peer_address: String::new(),
         capacity_cores: *capacity_cores,
     });
-    live.collect()
+    live_members.collect()
 }
 
 #[test]
-fn readers_for_all_members_agree_on_the_readers() {
+fn readers_for_all_members_are_the_same_set() {
     let names: Vec<String> = (0..85).map(|index| format!("n{index}")).collect();
     let members: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), 0.25)).collect();
     let mut expected = readers_for("n0", &members);
@@ -42,25 +43,28 @@
         ranked.sort_unstable();
         assert_eq!(ranked, expected);
     }
-    // A dead reader is replaced by one other member; the rest stay.
-    let left = members.iter().filter(|(name, _)| name != &expected[0]);
-    let left: Vec<(&str, f64)> = left.copied().collect();
-    let after = readers_for("n0", &left);
+    // A failed reader is replaced by one other member; the other readers stay the same.
+    let remaining = members.iter().filter(|(name, _)| name != &expected[0]);
+    let remaining: Vec<(&str, f64)> = remaining.copied().collect();
+    let new_readers = readers_for("n0", &remaining);
     assert_eq!(
-        after.iter().filter(|name| expected.contains(name)).count(),
+        new_readers
+            .iter()
+            .filter(|name| expected.contains(name))
+            .count(),
         3
     );
 }
 
 #[test]
-fn readers_for_few_members_two_readers() {
+fn readers_for_few_members_limited_to_two() {
     let three = [("a", 0.25), ("b", 0.25), ("c", 0.25)];
     assert_eq!(readers_for("a", &three).len(), 2);
     assert_eq!(readers_for("a", &three[..1]), ["a"]);
 }
 
 #[test]
-fn readers_for_small_members_spared() {
+fn readers_for_prefers_members_with_more_cores() {
     let members = [("a", 0.1), ("b", 0.5), ("c", 0.1), ("d", 0.5), ("e", 0.1)];
     let mut readers = readers_for("a", &members);
     readers.sort_unstable();
@@ -68,11 +72,16 @@
 }
 
 #[test]
-fn capacity_cores_narrow_link_spared() {
-    let wide = roles::capacity_cores(0.25, 1_000.0);
-    let narrow = roles::capacity_cores(0.5, 10.0);
-    assert!((wide - 0.25).abs() < f64::EPSILON);
-    let members = [("a", narrow), ("b", wide), ("c", narrow), ("d", wide)];
+fn capacity_cores_reduced_by_slow_link() {
+    let fast_link = roles::capacity_cores(0.25, 1_000.0);
+    let slow_link = roles::capacity_cores(0.5, 10.0);
+    assert!((fast_link - 0.25).abs() < f64::EPSILON);
+    let members = [
+        ("a", slow_link),
+        ("b", fast_link),
+        ("c", slow_link),
+        ("d", fast_link),
+    ];
     let mut readers = readers_for("a", &members);
     readers.sort_unstable();
     assert_eq!(readers, ["b", "d"]);
@@ -80,18 +89,19 @@
     assert!(owner == "b" || owner == "d");
 }
 
-/// Every heartbeat of a peer that has a newer configuration used to begin a transfer of its own.
+/// Guards against concurrent configuration transfers: without the limit, every heartbeat of a peer
+/// that has a newer configuration starts another transfer.
 #[test]
-fn begin_while_taken_refused_until_it_ends() {
+fn begin_refused_while_another_transfer_runs() {
     let transfers = OneAtATime::default();
-    let first = transfers.begin().expect("a turn");
+    let first = transfers.begin().expect("no transfer is running");
     assert!(transfers.begin().is_none());
     drop(first);
     assert!(transfers.begin().is_some());
 }
 
-/// Members as drawn: whether each lives, and whether it is a large one.
-fn drawn_members() -> impl Strategy<Value = Vec<(bool, bool)>> {
+/// Generates members as pairs: whether the member is live, and whether it has many cores.
+fn arbitrary_members() -> impl Strategy<Value = Vec<(bool, bool)>> {
     proptest::collection::vec((any::<bool>(), any::<bool>()), 2..120)
 }
 
@@ -102,13 +112,14 @@
 }
 
 proptest! {
-    /// Members with the same view agree on the owners and on the readers, also when asked again, whoever lives.
+    /// Members with the same view compute the same owners and readers, whichever members are live.
+    /// Repeated queries return the same result.
     #[test]
-    fn live_view_any_members_all_agree_on_the_roles(drawn in drawn_members()) {
-        let names: Vec<String> = (0..drawn.len()).map(|number| format!("n{number}")).collect();
-        let living = names.iter().zip(&drawn).filter(|(_, (lives, _))| *lives);
-        let members: Vec<MemberCapacity> = living
-            .map(|(name, (_, large))| (name.as_str(), if *large { 0.5 } else { 0.12 }))
+    fn live_view_any_members_all_compute_the_same_roles(generated in arbitrary_members()) {
+        let names: Vec<String> = (0..generated.len()).map(|number| format!("n{number}")).collect();
+        let live_names = names.iter().zip(&generated).filter(|(_, (is_live, _))| *is_live);
+        let members: Vec<MemberCapacity> = live_names
+            .map(|(name, (_, is_large))| (name.as_str(), if *is_large { 0.5 } else { 0.12 }))
             .collect();
         let views: Vec<LiveView> =
             members.iter().map(|(name, _)| LiveView::new(name, live(&members))).collect();
@@ -124,53 +135,56 @@
         }
     }
 
-    /// A member that leaves names the owner that the others name once it is gone.
+    /// A departing member computes the same next owner as the remaining members do after its
+    /// departure.
     #[test]
-    fn owner_among_others_member_leaves_next_in_rank(count in 2_usize..60, leaving in any::<prop::sample::Index>()) {
+    fn owner_among_others_equals_owner_after_departure(count in 2_usize..60, departing in any::<prop::sample::Index>()) {
         let names: Vec<String> = (0..count).map(|number| format!("n{number}")).collect();
         let members: Vec<MemberCapacity> = names.iter().map(|name| (name.as_str(), 0.25)).collect();
-        let gone = leaving.index(count);
-        let view = LiveView::new(&names[gone], live(&members));
-        let named = view.owner_among_others("llm").map(|owner| owner.name.clone());
-        let mut left = members.clone();
-        left.remove(gone);
-        prop_assert_eq!(named, owner("llm", &left));
+        let departed = departing.index(count);
+        let view = LiveView::new(&names[departed], live(&members));
+        let next_owner = view.owner_among_others("llm").map(|owner| owner.name.clone());
+        let mut remaining = members.clone();
+        remaining.remove(departed);
+        prop_assert_eq!(next_owner, owner("llm", &remaining));
     }
 }
 
 proptest! {
-    /// Whatever the order of requests and repeats, nine instances together stay within what the site allows.
+    /// For any order of requests and retries, nine instances together stay within the retry
+    /// allowance of the site.
     #[test]
-    fn budget_of_one_all_instances_within_the_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
+    fn budget_of_one_all_instances_together_within_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
         let allowance = RetryAllowance { share: 0.2, slack: 58.0 };
         let mut budgets = [allowance.budget_of_one(9); 9];
-        let (mut requests, mut repeats) = (0_u32, 0_u32);
-        for (instance, repeat) in steps {
-            if repeat {
-                repeats += u32::from(budgets[instance].take_retry());
+        let (mut requests, mut retries) = (0_u32, 0_u32);
+        for (instance, is_retry) in steps {
+            if is_retry {
+                retries += u32::from(budgets[instance].take_retry());
             } else {
                 requests += 1;
                 budgets[instance].first_try();
             }
-            prop_assert!(f64::from(repeats) <= 0.2 * f64::from(requests) + 58.0);
+            prop_assert!(f64::from(retries) <= 0.2 * f64::from(requests) + 58.0);
         }
     }
 
-    /// However the bytes are cut, the same whole events come out, and no half one.
+    /// The splitter returns the same complete events for any split of the bytes into chunks, and
+    /// never a partial event.
     #[test]
-    fn push_any_cuts_same_events(cuts in proptest::collection::vec(1_usize..40, 1..60)) {
+    fn push_any_chunks_same_complete_events(chunk_sizes in proptest::collection::vec(1_usize..40, 1..60)) {
         let events = (1..=12).map(|id| format!("id: {id}\ndata: text {id}\n\n"));
         let text = events.collect::<Vec<_>>().concat();
         let mut splitter = EventSplitter::default();
-        let mut rest = text.as_bytes();
+        let mut unread = text.as_bytes();
         let mut ids = Vec::new();
-        for cut in cuts.into_iter().cycle() {
-            if rest.is_empty() {
+        for chunk_size in chunk_sizes.into_iter().cycle() {
+            if unread.is_empty() {
                 break;
             }
-            let (part, after) = rest.split_at(cut.min(rest.len()));
-            rest = after;
-            for event in splitter.push(part).unwrap() {
+            let (chunk, remaining) = unread.split_at(chunk_size.min(unread.len()));
+            unread = remaining;
+            for event in splitter.push(chunk).unwrap() {
                 prop_assert!(event.bytes.ends_with(b"\n\n"));
                 ids.push(event.id.unwrap().parse::<u32>().unwrap());
             }
@@ -180,26 +194,27 @@
     }
 }
 
+/// Duration after which a call counts as late.
 const LATE_AFTER: Duration = Duration::from_millis(200);
 
 #[test]
-fn weight_failing_endpoint_nearly_left_out_and_forgiven_in_time() {
+fn weight_of_failing_endpoint_near_zero_and_recovers_over_time() {
     let mut health = EndpointHealth::default();
     let now = Duration::from_secs(10);
     for _ in 0..8 {
-        health.begin("grey", now);
-        health.end("grey", now, Some(true), now);
-        health.begin("sound", now);
-        health.end("sound", now, Some(false), now);
+        health.begin("failing", now);
+        health.end("failing", now, Some(true), now);
+        health.begin("healthy", now);
+        health.end("healthy", now, Some(false), now);
     }
     let weight = |name, at| health.weight(name, 6, LATE_AFTER, at);
-    assert!(weight("grey", now) * 100.0 < weight("sound", now));
+    assert!(weight("failing", now) * 100.0 < weight("healthy", now));
     let later = now + Duration::from_secs(15);
-    assert!(weight("grey", later) * 2.0 > weight("sound", later));
+    assert!(weight("failing", later) * 2.0 > weight("healthy", later));
 }
 
 #[test]
-fn weight_load_of_this_instance_counts() {
+fn weight_reduced_by_calls_in_flight() {
     let mut health = EndpointHealth::default();
     for _ in 0..6 {
         health.begin("busy", Duration::ZERO);
@@ -208,20 +223,21 @@
     assert!(weight("busy") * 2.0 < weight("idle"));
 }
 
-/// A server that hangs got calls until the first one's deadline had passed.
+/// Guards against an endpoint that hangs and keeps getting calls until the deadline of the first
+/// one has passed.
 #[test]
-fn weight_late_call_counts_before_it_has_failed() {
+fn weight_reduced_by_late_call_before_it_fails() {
     let mut health = EndpointHealth::default();
-    health.begin("hangs", Duration::ZERO);
-    health.begin("quick", Duration::ZERO);
+    health.begin("hanging", Duration::ZERO);
+    health.begin("fast", Duration::ZERO);
     health.end(
-        "quick",
+        "fast",
         Duration::ZERO,
         Some(false),
         Duration::from_millis(40),
     );
-    health.begin("quick", Duration::from_millis(400));
+    health.begin("fast", Duration::from_millis(400));
     let weight = |name, ms| health.weight(name, 6, LATE_AFTER, Duration::from_millis(ms));
-    assert!((weight("hangs", 100) - weight("quick", 100)).abs() < 1e-9);
-    assert!(weight("hangs", 401) * 5.0 < weight("quick", 401));
+    assert!((weight("hanging", 100) - weight("fast", 100)).abs() < 1e-9);
+    assert!(weight("hanging", 401) * 5.0 < weight("fast", 401));
 }
