--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,4 +1,5 @@
-//! Exhaustive search of small specifications of the core protocols. Their steps call the kernel's own functions.
+//! Model checking: exhaustive search of the state spaces of small models of the core protocols. The
+//! steps of the models call the functions of the kernel.
 
 #[path = "model/config_fold.rs"]
 mod config_fold;
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -1,5 +1,8 @@
-//! The configuration fold: publishers race, replies are lost and records come twice, records expire, stale instances write
-//! snapshots, newcomers start from the log or a peer. All instances agree with the whole log, and each publish counts once.
+//! Model of the replicated configuration state.
+//!
+//! Publishers race, lost replies lead to duplicate records, records expire, instances that lag
+//! behind write snapshots, and new instances start from the log or from a peer. The state of every
+//! instance must equal a replay of the whole log, and each publish must take effect at most once.
 
 use std::sync::Arc;
 
@@ -12,50 +15,54 @@
 use super::search::{State, assert_caught, assert_safe};
 
 const WINDOW: u64 = 3;
-const LOG_MAX: usize = 4;
+const MAX_LOG_LENGTH: usize = 4;
 const INSTANCES: usize = 2;
-/// How often each publish may be appended, by wish.
-const COPIES_MAX: [u8; 3] = [2, 2, 1];
-const SNAPSHOTS_MAX: usize = 1;
-/// The instance that is replaced and asks its peer.
-const NEWCOMER: usize = 0;
-const REPLACEMENTS_MAX: u8 = 1;
+/// Maximum number of times that each publish is appended, by publisher action.
+const MAX_APPENDS: [u8; 3] = [2, 2, 1];
+const MAX_SNAPSHOTS: usize = 1;
+/// The instance that is replaced by a new one and may start from the state of its peer.
+const REPLACED_INSTANCE: usize = 0;
+const MAX_REPLACEMENTS: u8 = 1;
 
-/// A rule of the mechanism that is taken out.
+/// A fault that is injected into the protocol; the search must find a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Mutant {
     None,
-    /// Snapshots are adopted although records between them and the first one kept are missing.
-    AdoptsIncomplete,
-    /// A reader that finds a gap goes on from the first record kept.
-    SkipsGaps,
-    /// A second try carries a new publish id and a new base.
-    NewIdPerTry,
-    /// A newcomer takes a peer's state even where it is behind.
-    TakesOlderState,
+    /// Snapshots are installed even if records between them and the first retained one are missing.
+    InstallsIncompleteSnapshot,
+    /// A reader that finds a gap continues at the first retained record.
+    SkipsLogGaps,
+    /// Each attempt to append a publish uses a new publish id and a new base.
+    NewIdPerAttempt,
+    /// A new instance installs the state of a peer even if it is older than its own.
+    InstallsOlderPeerState,
 }
 
-/// What a publisher does.
+/// Change that a publisher makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Wish {
+enum PublisherAction {
     Create,
     Delete,
     Replace,
 }
 
-const WISHES: [Wish; 3] = [Wish::Create, Wish::Delete, Wish::Replace];
+const PUBLISHER_ACTIONS: [PublisherAction; 3] = [
+    PublisherAction::Create,
+    PublisherAction::Delete,
+    PublisherAction::Replace,
+];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Fold {
     mutant: Mutant,
-    /// The whole log; records before `first_kept` have expired.
+    /// All records ever appended; those before `first_retained` have expired.
     log: Vec<Arc<Record>>,
-    first_kept: u64,
+    first_retained: u64,
     states: [Arc<ConfigState>; INSTANCES],
-    /// Publishes prepared, by wish, and how often each was appended.
+    /// Prepared publishes and how often each was appended, by publisher action.
     prepared: [Option<(Publish, u8)>; 3],
     replacements: u8,
-    went_back: bool,
+    has_regressed: bool,
 }
 
 fn hall(region: &str) -> Object {
@@ -82,38 +89,38 @@
 }
 
 impl Fold {
-    fn start(mutant: Mutant) -> Self {
+    fn initial(mutant: Mutant) -> Self {
         Self {
             mutant,
             log: Vec::new(),
-            first_kept: 0,
+            first_retained: 0,
             states: Default::default(),
             prepared: [None, None, None],
             replacements: 0,
-            went_back: false,
+            has_regressed: false,
         }
     }
 
-    /// The fold of the whole log up to an offset, with what each record did.
-    fn reference(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
+    /// Replays the whole log up to an offset. Returns the state and the effect of each record.
+    fn replay(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
         let mut fold = ConfigFold::default().with_base_window(WINDOW);
-        let applied = self.log[..until]
+        let effects = self.log[..until]
             .iter()
             .map(|record| fold.apply(Some(record)))
             .collect();
-        (fold.state().clone(), applied)
+        (fold.state().clone(), effects)
     }
 
-    fn prepare(&self, index: usize, reader: usize) -> Self {
+    fn prepare_publish(&self, index: usize, reader: usize) -> Self {
         let state = &self.states[reader];
-        let action = match WISHES[index] {
-            Wish::Create => ChangeAction::Put {
+        let action = match PUBLISHER_ACTIONS[index] {
+            PublisherAction::Create => ChangeAction::Put {
                 object: Box::new(hall("new")),
             },
-            Wish::Replace => ChangeAction::Put {
+            PublisherAction::Replace => ChangeAction::Put {
                 object: Box::new(hall("other")),
             },
-            Wish::Delete => ChangeAction::Delete { key: hall_key() },
+            PublisherAction::Delete => ChangeAction::Delete { key: hall_key() },
         };
         let publish = Publish {
             publish_id: Uuid::from_u128(index as u128 + 1),
@@ -130,18 +137,18 @@
     }
 
     fn append_publish(&self, index: usize) -> Option<Self> {
-        let (publish, copies) = self.prepared[index].clone()?;
-        if copies >= COPIES_MAX[index] {
+        let (publish, appends) = self.prepared[index].clone()?;
+        if appends >= MAX_APPENDS[index] {
             return None;
         }
         let mut next = self.clone();
         let mut sent = publish.clone();
-        if self.mutant == Mutant::NewIdPerTry && copies > 0 {
+        if self.mutant == Mutant::NewIdPerAttempt && appends > 0 {
             sent.publish_id = Uuid::from_u128(100 + index as u128);
             sent.base_offset = self.log.len() as u64;
         }
         next.log.push(Arc::new(Record::Publish(sent)));
-        next.prepared[index] = Some((publish, copies + 1));
+        next.prepared[index] = Some((publish, appends + 1));
         Some(next)
     }
 
@@ -153,70 +160,70 @@
         next
     }
 
-    fn snapshots(&self) -> usize {
+    fn snapshot_count(&self) -> usize {
         let is_snapshot = |record: &&Arc<Record>| matches!(&***record, Record::Snapshot(_));
         self.log.iter().filter(is_snapshot).count()
     }
 
-    fn expire(&self) -> Self {
+    fn expire_record(&self) -> Self {
         let mut next = self.clone();
-        next.first_kept += 1;
+        next.first_retained += 1;
         next
     }
 
-    fn read(&self, reader: usize) -> Self {
-        let kept: Vec<Option<Record>> = self.log[index_of(self.first_kept)..]
+    fn read_log(&self, reader: usize) -> Self {
+        let retained: Vec<Option<Record>> = self.log[index_of(self.first_retained)..]
             .iter()
             .map(|record| Some(Record::clone(record)))
             .collect();
         let mut fold = fold_of(&self.states[reader]);
-        let behind = self.states[reader].next_offset < self.first_kept;
-        if behind && self.mutant == Mutant::SkipsGaps {
+        let is_behind = self.states[reader].next_offset < self.first_retained;
+        if is_behind && self.mutant == Mutant::SkipsLogGaps {
             let mut skipped = ConfigState::clone(&self.states[reader]);
-            skipped.next_offset = self.first_kept;
+            skipped.next_offset = self.first_retained;
             fold = fold_of(&skipped);
         }
-        if behind && self.mutant == Mutant::AdoptsIncomplete {
-            for record in kept.iter().flatten() {
+        if is_behind && self.mutant == Mutant::InstallsIncompleteSnapshot {
+            for record in retained.iter().flatten() {
                 if let Record::Snapshot(snapshot) = record {
                     fold.install_snapshot(snapshot, 0);
                 }
             }
             let mut skipped = fold.state().clone();
-            skipped.next_offset = skipped.next_offset.max(self.first_kept);
+            skipped.next_offset = skipped.next_offset.max(self.first_retained);
             if fold.state().next_offset > 0 {
                 fold = fold_of(&skipped);
             }
         }
         let read = LogRead {
-            first_offset: self.first_kept,
-            records: &kept,
+            first_offset: self.first_retained,
+            records: &retained,
         };
-        // A gap that nothing closes leaves the state as it was.
+        // If no snapshot closes a gap, the state does not change.
         let _ = fold.catch_up(&read);
         self.with_state(reader, fold.state().clone())
     }
 
-    fn take_from_peer(&self, reader: usize) -> Self {
-        let theirs = ConfigState::clone(&self.states[1 - reader]);
-        if self.mutant == Mutant::TakesOlderState {
-            return self.with_state(reader, theirs);
+    fn install_state_from_peer(&self, reader: usize) -> Self {
+        let peer_state = ConfigState::clone(&self.states[1 - reader]);
+        if self.mutant == Mutant::InstallsOlderPeerState {
+            return self.with_state(reader, peer_state);
         }
         let mut fold = fold_of(&self.states[reader]);
-        fold.install_peer_state(theirs);
+        fold.install_peer_state(peer_state);
         self.with_state(reader, fold.state().clone())
     }
 
     fn with_state(&self, reader: usize, state: ConfigState) -> Self {
         let mut next = self.clone();
-        next.went_back |= state.next_offset < self.states[reader].next_offset;
+        next.has_regressed |= state.next_offset < self.states[reader].next_offset;
         if *next.states[reader] != state {
             next.states[reader] = Arc::new(state);
         }
         next
     }
 
-    fn replace(&self, instance: usize) -> Self {
+    fn replace_instance(&self, instance: usize) -> Self {
         let mut next = self.clone();
         next.replacements += 1;
         next.states[instance] = Arc::default();
@@ -227,49 +234,49 @@
 impl State for Fold {
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
-        let room = self.log.len() < LOG_MAX;
-        for index in 0..WISHES.len() {
-            if self.prepared[index].is_none() && room {
-                next.push(self.prepare(index, index % INSTANCES));
+        let has_log_space = self.log.len() < MAX_LOG_LENGTH;
+        for index in 0..PUBLISHER_ACTIONS.len() {
+            if self.prepared[index].is_none() && has_log_space {
+                next.push(self.prepare_publish(index, index % INSTANCES));
             }
-            if room {
+            if has_log_space {
                 next.extend(self.append_publish(index));
             }
         }
         for instance in 0..INSTANCES {
-            if room && self.snapshots() < SNAPSHOTS_MAX {
+            if has_log_space && self.snapshot_count() < MAX_SNAPSHOTS {
                 next.push(self.append_snapshot(instance));
             }
-            next.push(self.read(instance));
-            if instance == NEWCOMER {
-                next.push(self.take_from_peer(instance));
+            next.push(self.read_log(instance));
+            if instance == REPLACED_INSTANCE {
+                next.push(self.install_state_from_peer(instance));
             }
-            if instance == NEWCOMER && self.replacements < REPLACEMENTS_MAX {
-                next.push(self.replace(instance));
+            if instance == REPLACED_INSTANCE && self.replacements < MAX_REPLACEMENTS {
+                next.push(self.replace_instance(instance));
             }
         }
-        if self.first_kept < self.log.len() as u64 {
-            next.push(self.expire());
+        if self.first_retained < self.log.len() as u64 {
+            next.push(self.expire_record());
         }
         next.retain(|state| state != self);
         next
     }
 
     fn violation(&self) -> Option<&'static str> {
-        if self.went_back {
-            return Some("an instance went back to an older configuration");
+        if self.has_regressed {
+            return Some("an instance returned to an older configuration");
         }
         for state in &self.states {
-            if **state != self.reference(index_of(state.next_offset)).0 {
-                return Some("an instance differs from the whole log");
+            if **state != self.replay(index_of(state.next_offset)).0 {
+                return Some("the state of an instance differs from a replay of the whole log");
             }
         }
-        let (_, applied) = self.reference(self.log.len());
-        for index in 0..WISHES.len() {
+        let (_, effects) = self.replay(self.log.len());
+        for index in 0..PUBLISHER_ACTIONS.len() {
             let ids = [index as u128 + 1, 100 + index as u128].map(Uuid::from_u128);
-            let accepted = self.log.iter().zip(&applied).filter(|(record, did)| {
-                let its = matches!(&***record, Record::Publish(publish) if ids.contains(&publish.publish_id));
-                its && **did == RecordEffect::PublishDecided(Verdict::Accepted)
+            let accepted = self.log.iter().zip(&effects).filter(|(record, effect)| {
+                let is_publish = matches!(&***record, Record::Publish(publish) if ids.contains(&publish.publish_id));
+                is_publish && **effect == RecordEffect::PublishDecided(Verdict::Accepted)
             });
             if accepted.count() > 1 {
                 return Some("one publish took effect twice");
@@ -281,20 +288,20 @@
 
 #[test]
 fn config_fold_all_states_safe() {
-    assert_safe("configuration fold", &Fold::start(Mutant::None));
+    assert_safe("configuration fold", &Fold::initial(Mutant::None));
 }
 
 #[test]
 fn config_fold_mutants_caught() {
     for mutant in [
-        Mutant::AdoptsIncomplete,
-        Mutant::SkipsGaps,
-        Mutant::NewIdPerTry,
-        Mutant::TakesOlderState,
+        Mutant::InstallsIncompleteSnapshot,
+        Mutant::SkipsLogGaps,
+        Mutant::NewIdPerAttempt,
+        Mutant::InstallsOlderPeerState,
     ] {
         assert_caught(
             &format!("configuration fold {mutant:?}"),
-            &Fold::start(mutant),
+            &Fold::initial(mutant),
         );
     }
 }
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -1,5 +1,7 @@
-//! Tickets and attempts: entries die and come back at the same address, copies come late or twice, replies are lost or late.
-//! One request must run at most once, and "not run" must never be false.
+//! Model of tickets and at-most-once requests.
+//!
+//! Instances fail and restart at the same address, duplicates of a request are delayed, and replies
+//! are lost or delayed. The request must run at most once, and the answer "not run" must be true.
 
 use std::collections::BTreeSet;
 
@@ -9,27 +11,27 @@
 use super::search::{State, assert_caught, assert_safe};
 
 const INSTANCES: usize = 2;
-const EPOCHS_MAX: u64 = 3;
-const RESTARTS_MAX: u8 = 1;
-const TICKETS_MAX: usize = 2;
-const NAMES: [&str; INSTANCES] = ["a", "b"];
+const MAX_EPOCHS: u64 = 3;
+const MAX_RESTARTS: u8 = 1;
+const MAX_TICKETS: usize = 2;
+const INSTANCE_NAMES: [&str; INSTANCES] = ["a", "b"];
 
-/// A rule of the mechanism that is taken out.
+/// A fault that is injected into the protocol; the search must find a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Mutant {
     None,
-    /// A restarted instance takes tickets of its earlier incarnation.
+    /// A restarted instance accepts tickets of its earlier incarnation.
     IgnoresIncarnation,
-    /// Any instance runs what it is asked to.
-    RunsInsteadOfRelaying,
+    /// An instance runs requests whose ticket names another instance.
+    RunsInsteadOfForwarding,
     /// A request that was answered `not_run` is forgotten.
     ForgetsNotRun,
-    /// A full memory refuses this once, but accepts a late copy.
-    FullAcceptsLater,
-    /// Old tickets are accepted whatever their age.
+    /// A full table rejects a request but accepts a delayed duplicate of it later.
+    FullAcceptsLaterDuplicate,
+    /// Tickets are accepted regardless of their age.
     AcceptsStale,
-    /// The instance that named the ticket being gone is answered `not_run`.
-    GoneIsNotRun,
+    /// A request for an incarnation that no longer exists is answered `not_run`.
+    IncarnationGoneIsNotRun,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -42,15 +44,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Tickets {
     mutant: Mutant,
-    books: [DedupTable<Reply>; INSTANCES],
+    tables: [DedupTable<Reply>; INSTANCES],
     restarts: u8,
-    /// Tickets the caller has used, the newest last.
-    used: Vec<Ticket>,
-    /// Copies of the request on their way: index of the ticket and of the instance asked. They never get lost for good.
-    copies: BTreeSet<(usize, usize)>,
-    /// Replies on their way or read: index of the ticket and the reply.
+    /// Tickets that the caller has used, newest last.
+    tickets: Vec<Ticket>,
+    /// Copies of the request in transit: index of the ticket and of the destination instance. They
+    /// stay in the set after delivery, so each may be delivered again.
+    requests_in_transit: BTreeSet<(usize, usize)>,
+    /// Replies in transit or received: index of the ticket and the reply.
     replies: BTreeSet<(usize, Reply)>,
-    /// Runs per ticket used.
+    /// Number of runs per used ticket.
     runs: Vec<u8>,
 }
 
@@ -61,83 +64,90 @@
     }
 }
 
-fn book(instance: usize, incarnation: u128) -> DedupTable<Reply> {
+fn table(instance: usize, incarnation: u128) -> DedupTable<Reply> {
     let limits = TicketLimits {
         accept_epochs: 1,
         remember_epochs: 2,
         capacity: 1,
     };
-    DedupTable::new(NAMES[instance], Uuid::from_u128(incarnation), limits)
+    DedupTable::new(
+        INSTANCE_NAMES[instance],
+        Uuid::from_u128(incarnation),
+        limits,
+    )
 }
 
 impl Tickets {
-    fn start(mutant: Mutant) -> Self {
+    fn initial(mutant: Mutant) -> Self {
         Self {
             mutant,
-            books: [book(0, 1), book(1, 2)],
+            tables: [table(0, 1), table(1, 2)],
             restarts: 0,
-            used: Vec::new(),
-            copies: BTreeSet::new(),
+            tickets: Vec::new(),
+            requests_in_transit: BTreeSet::new(),
             replies: BTreeSet::new(),
             runs: Vec::new(),
         }
     }
 
-    /// The caller may take a new ticket at the start and after `not_run` for every earlier one.
-    fn may_take_ticket(&self) -> bool {
+    /// Returns whether the caller can take a new ticket: initially, and once every earlier ticket
+    /// got the answer `not_run`.
+    fn can_take_ticket(&self) -> bool {
         let all_not_run =
-            (0..self.used.len()).all(|index| self.replies.contains(&(index, Reply::NotRun)));
-        self.used.len() < TICKETS_MAX && all_not_run
+            (0..self.tickets.len()).all(|index| self.replies.contains(&(index, Reply::NotRun)));
+        self.tickets.len() < MAX_TICKETS && all_not_run
     }
 
     fn take_ticket(&self, instance: usize) -> Self {
         let mut next = self.clone();
-        next.used.push(self.books[instance].ticket());
+        next.tickets.push(self.tables[instance].ticket());
         next.runs.push(0);
         next
     }
 
     fn send(&self, ticket: usize, to: usize) -> Self {
         let mut next = self.clone();
-        next.copies.insert((ticket, to));
+        next.requests_in_transit.insert((ticket, to));
         next
     }
 
-    /// A copy arrives; a run may be refused by the endpoint before admission.
-    fn arrive(&self, ticket: usize, at: usize, refused: bool) -> Self {
+    /// Delivers a copy of the request. If `refused`, the endpoint refuses the run before admission.
+    fn deliver(&self, ticket: usize, at: usize, refused: bool) -> Self {
         let mut next = self.clone();
-        let mut shown = self.used[ticket].clone();
+        let mut presented = self.tickets[ticket].clone();
         let mutant = self.mutant;
-        if mutant == Mutant::RunsInsteadOfRelaying {
-            shown = self.books[at].ticket();
+        if mutant == Mutant::RunsInsteadOfForwarding {
+            presented = self.tables[at].ticket();
         }
-        if mutant == Mutant::IgnoresIncarnation && shown.instance == NAMES[at] {
-            shown.incarnation = self.books[at].ticket().incarnation;
+        if mutant == Mutant::IgnoresIncarnation && presented.instance == INSTANCE_NAMES[at] {
+            presented.incarnation = self.tables[at].ticket().incarnation;
         }
         if mutant == Mutant::AcceptsStale {
-            shown.epoch = self.books[at].epoch();
+            presented.epoch = self.tables[at].epoch();
         }
         let answer = if refused { Reply::NotRun } else { Reply::Ran };
-        let before = next.books[at].clone();
-        let reply = match next.books[at].admit(&shown, &key("request"), answer, true) {
+        let table_before = next.tables[at].clone();
+        let reply = match next.tables[at].admit(&presented, &key("request"), answer, true) {
             DedupDecision::Run(answer) => {
                 if answer == Reply::Ran {
                     next.runs[ticket] += 1;
                 } else if mutant == Mutant::ForgetsNotRun {
-                    next.books[at] = before;
+                    next.tables[at] = table_before;
                 } else {
-                    next.books[at].record_not_run(&key("request"));
+                    next.tables[at].record_not_run(&key("request"));
                 }
                 answer
             }
             DedupDecision::Join(answer) => answer,
-            // The instance that the ticket names is asked; the reply, or its absence, comes from there.
+            // Forwarded to the instance that the ticket names, which replies or does not.
             DedupDecision::Relay => return self.send(ticket, 1 - at),
-            DedupDecision::IncarnationGone if mutant == Mutant::GoneIsNotRun => Reply::NotRun,
+            DedupDecision::IncarnationGone if mutant == Mutant::IncarnationGoneIsNotRun => {
+                Reply::NotRun
+            }
             DedupDecision::IncarnationGone | DedupDecision::Forgotten => Reply::Unknown,
             DedupDecision::Full => {
-                if mutant == Mutant::FullAcceptsLater {
-                    next.books[at] = before;
+                if mutant == Mutant::FullAcceptsLaterDuplicate {
+                    next.tables[at] = table_before;
                 }
                 Reply::NotRun
             }
@@ -150,21 +160,21 @@
     fn restart(&self, instance: usize) -> Self {
         let mut next = self.clone();
         next.restarts += 1;
-        next.books[instance] = book(instance, 100 + u128::from(next.restarts));
+        next.tables[instance] = table(instance, 100 + u128::from(next.restarts));
         next
     }
 
     fn advance_epoch(&self, instance: usize) -> Self {
         let mut next = self.clone();
-        next.books[instance].advance_epoch();
+        next.tables[instance].advance_epoch();
         next
     }
 
-    /// Another caller's request fills the memory.
-    fn fill(&self, instance: usize) -> Self {
+    /// Fills the table with the request of another caller.
+    fn fill_table(&self, instance: usize) -> Self {
         let mut next = self.clone();
-        let ticket = next.books[instance].ticket();
-        next.books[instance].admit(&ticket, &key("other"), Reply::Ran, true);
+        let ticket = next.tables[instance].ticket();
+        next.tables[instance].admit(&ticket, &key("other"), Reply::Ran, true);
         next
     }
 }
@@ -173,33 +183,33 @@
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         for instance in 0..INSTANCES {
-            if self.may_take_ticket() {
+            if self.can_take_ticket() {
                 next.push(self.take_ticket(instance));
             }
-            // The instances are alike, so that one of them may do what both could.
-            if instance == 0 && self.restarts < RESTARTS_MAX {
+            // The instances are symmetric, so only the first one restarts and has its table filled.
+            if instance == 0 && self.restarts < MAX_RESTARTS {
                 next.push(self.restart(instance));
             }
-            if self.books[instance].epoch() < EPOCHS_MAX {
+            if self.tables[instance].epoch() < MAX_EPOCHS {
                 next.push(self.advance_epoch(instance));
             }
-            if instance == 0 && self.books[instance].epoch() < EPOCHS_MAX {
-                next.push(self.fill(instance));
+            if instance == 0 && self.tables[instance].epoch() < MAX_EPOCHS {
+                next.push(self.fill_table(instance));
             }
-            for ticket in 0..self.used.len() {
+            for ticket in 0..self.tickets.len() {
                 next.push(self.send(ticket, instance));
             }
         }
-        for &(ticket, at) in &self.copies {
-            next.push(self.arrive(ticket, at, false));
-            next.push(self.arrive(ticket, at, true));
+        for &(ticket, at) in &self.requests_in_transit {
+            next.push(self.deliver(ticket, at, false));
+            next.push(self.deliver(ticket, at, true));
         }
         next.retain(|state| {
             state != self
                 && state
-                    .books
+                    .tables
                     .iter()
-                    .all(|book| book.epoch() <= EPOCHS_MAX + 1)
+                    .all(|table| table.epoch() <= MAX_EPOCHS + 1)
         });
         next
     }
@@ -208,27 +218,27 @@
         if self.runs.iter().map(|runs| u32::from(*runs)).sum::<u32>() > 1 {
             return Some("the request ran twice");
         }
-        let false_not_run = (0..self.used.len())
+        let false_not_run = (0..self.tickets.len())
             .any(|index| self.runs[index] > 0 && self.replies.contains(&(index, Reply::NotRun)));
-        false_not_run.then_some("\"not run\" was false")
+        false_not_run.then_some("a request that ran was answered \"not run\"")
     }
 }
 
 #[test]
 fn tickets_all_states_safe() {
-    assert_safe("tickets", &Tickets::start(Mutant::None));
+    assert_safe("tickets", &Tickets::initial(Mutant::None));
 }
 
 #[test]
 fn tickets_mutants_caught() {
     for mutant in [
         Mutant::IgnoresIncarnation,
-        Mutant::RunsInsteadOfRelaying,
+        Mutant::RunsInsteadOfForwarding,
         Mutant::ForgetsNotRun,
-        Mutant::FullAcceptsLater,
+        Mutant::FullAcceptsLaterDuplicate,
         Mutant::AcceptsStale,
-        Mutant::GoneIsNotRun,
+        Mutant::IncarnationGoneIsNotRun,
     ] {
-        assert_caught(&format!("tickets {mutant:?}"), &Tickets::start(mutant));
+        assert_caught(&format!("tickets {mutant:?}"), &Tickets::initial(mutant));
     }
 }
