--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use larkwick::kernel::clock::SystemClock;
-use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
+use larkwick::kernel::config::{Change, ChangeAction, ConfigStateMachine, Publish, Record};
 use larkwick::kernel::group::{GroupLedger, GroupLimits, ReserveRequest};
 use larkwick::kernel::membership::{Incarnation, Listed, Members, PeerStatus};
 use larkwick::kernel::object::{ClientAccount, Object};
@@ -65,7 +65,7 @@
     })
 }
 
-fn publish(fold: &ConfigFold, object: Object) -> Record {
+fn publish(fold: &ConfigStateMachine, object: Object) -> Record {
     Record::Publish(Publish {
         publish_id: Uuid::new_v4(),
         base_offset: fold.state().next_offset,
@@ -86,7 +86,7 @@
     println!("|---:|---:|---:|---:|---:|---:|");
     for objects in [1_000_u32, 5_000, 20_000] {
         let before = resident_kib();
-        let mut fold = ConfigFold::default();
+        let mut fold = ConfigStateMachine::default();
         let changes = (0..objects).map(|index| Change {
             seen_revision: 0,
             action: ChangeAction::Put {
--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -10,7 +10,7 @@
 use spdlog::{info, warn};
 
 use super::node::Node;
-use crate::kernel::config::{ConfigFold, ConfigState, LogRead, Record, RecordEffect};
+use crate::kernel::config::{ConfigState, ConfigStateMachine, LogRead, Record, RecordEffect};
 use crate::kernel::lease::Held;
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::rules::Catalog;
@@ -39,7 +39,7 @@
 
 #[derive(Default)]
 struct Inner {
-    fold: ConfigFold,
+    fold: ConfigStateMachine,
     /// The newest records applied, oldest first; the last one has offset `next_offset - 1`.
     recent: VecDeque<Value>,
     /// When the log or a live peer last confirmed this state.
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -174,7 +174,7 @@
 
 /// The configuration state machine of an instance.
 #[derive(Debug, Clone)]
-pub struct ConfigFold {
+pub struct ConfigStateMachine {
     state: ConfigState,
     /// Base window; must be equal on every instance. [`BASE_WINDOW_OFFSETS`] except in the model
     /// checker.
@@ -302,7 +302,7 @@
     }
 }
 
-impl Default for ConfigFold {
+impl Default for ConfigStateMachine {
     fn default() -> Self {
         Self::from_state(ConfigState::default())
     }
@@ -362,7 +362,7 @@
     }
 }
 
-impl ConfigFold {
+impl ConfigStateMachine {
     /// Replaces the base window; used by the model checker.
     #[must_use]
     pub fn with_base_window(mut self, window_offsets: u64) -> Self {
--- a/src/tool/config.rs
+++ b/src/tool/config.rs
@@ -4,15 +4,15 @@
 
 use anyhow::Context;
 
-use crate::kernel::config::{ConfigFold, ConfigState, LogRead, Record};
+use crate::kernel::config::{ConfigState, ConfigStateMachine, LogRead, Record};
 use crate::log_service::{CONFIG_STREAM, Platform};
 
 /// Reads the log to its head and gives the fold.
 ///
 /// # Errors
 /// The log cannot be read, or records have expired and no snapshot closes the gap.
-pub async fn read_fold(platform: &Platform) -> anyhow::Result<ConfigFold> {
-    let mut fold = ConfigFold::default();
+pub async fn read_fold(platform: &Platform) -> anyhow::Result<ConfigStateMachine> {
+    let mut fold = ConfigStateMachine::default();
     catch_up(platform, &mut fold).await?;
     Ok(fold)
 }
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// As for [`read_fold`].
-pub async fn catch_up(platform: &Platform, fold: &mut ConfigFold) -> anyhow::Result<()> {
+pub async fn catch_up(platform: &Platform, fold: &mut ConfigStateMachine) -> anyhow::Result<()> {
     let from = fold.state().next_offset;
     let mut page = platform.log.read(CONFIG_STREAM, from).await?;
     let first_offset = page.first_offset;
--- a/src/tool/publish.rs
+++ b/src/tool/publish.rs
@@ -8,7 +8,7 @@
 
 use super::config::{LOOK_EVERY, catch_up, read_fold};
 use crate::kernel::config::{
-    Change, ChangeAction, ConfigFold, ConfigState, Publish, Record, Verdict,
+    Change, ChangeAction, ConfigState, ConfigStateMachine, Publish, Record, Verdict,
 };
 use crate::kernel::object::{Object, ObjectKey};
 use crate::log_service::{CONFIG_STREAM, Platform, PlatformError};
@@ -132,7 +132,7 @@
 
 async fn await_verdict(
     platform: &Platform,
-    mut fold: ConfigFold,
+    mut fold: ConfigStateMachine,
     publish_id: Uuid,
     wait: Duration,
 ) -> Published {
--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -1,14 +1,14 @@
 //! Verdicts of the configuration state machine on publishes, and verification of snapshots.
 
 use larkwick::kernel::config::{
-    Change, ChangeAction, ConfigFold, Publish, Record, RecordEffect, Verdict,
+    Change, ChangeAction, ConfigStateMachine, Publish, Record, RecordEffect, Verdict,
 };
 use larkwick::kernel::object::ObjectKey;
 use larkwick::tool::check::parse_objects;
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-fn put(fold: &ConfigFold, object: &Value) -> Change {
+fn put(fold: &ConfigStateMachine, object: &Value) -> Change {
     let text = json!({"objects": [object]}).to_string();
     let object = parse_objects("object", &text).expect("object").remove(0);
     Change {
@@ -19,7 +19,7 @@
     }
 }
 
-fn delete(fold: &ConfigFold, key: &str) -> Change {
+fn delete(fold: &ConfigStateMachine, key: &str) -> Change {
     let key = ObjectKey::try_from(key.to_owned()).expect("key");
     Change {
         seen_revision: fold.state().revision(&key),
@@ -27,7 +27,7 @@
     }
 }
 
-fn publish(fold: &mut ConfigFold, changes: Vec<Change>) -> Verdict {
+fn publish(fold: &mut ConfigStateMachine, changes: Vec<Change>) -> Verdict {
     let record = Record::Publish(Publish {
         publish_id: Uuid::new_v4(),
         base_offset: fold.state().next_offset,
@@ -50,7 +50,7 @@
 
 #[test]
 fn publish_endpoint_with_unknown_hall_rejected() {
-    let mut fold = ConfigFold::default();
+    let mut fold = ConfigStateMachine::default();
     let change = put(&fold, &service());
     assert!(
         matches!(publish(&mut fold, vec![change]), Verdict::Invalid(invalid) if invalid.field == "hall")
@@ -61,7 +61,7 @@
 #[test]
 fn publish_endpoint_together_with_its_hall_accepted_in_any_order() {
     for hall_first in [true, false] {
-        let mut fold = ConfigFold::default();
+        let mut fold = ConfigStateMachine::default();
         let mut changes = vec![put(&fold, &hall()), put(&fold, &service())];
         if !hall_first {
             changes.reverse();
@@ -72,7 +72,7 @@
 
 #[test]
 fn publish_delete_of_hall_in_use_rejected_unless_its_endpoint_is_deleted_too() {
-    let mut fold = ConfigFold::default();
+    let mut fold = ConfigStateMachine::default();
     let changes = vec![put(&fold, &hall()), put(&fold, &service())];
     assert_eq!(publish(&mut fold, changes), Verdict::Accepted);
     let delete_hall_only = vec![delete(&fold, "hall/h")];
@@ -87,7 +87,7 @@
 
 #[test]
 fn publish_with_stale_revision_conflicts_and_changes_nothing() {
-    let mut fold = ConfigFold::default();
+    let mut fold = ConfigStateMachine::default();
     let stale = put(&fold, &hall());
     let change = put(&fold, &hall());
     assert_eq!(publish(&mut fold, vec![change]), Verdict::Accepted);
@@ -104,7 +104,7 @@
 
 #[test]
 fn snapshot_with_other_digest_detected() {
-    let mut fold = ConfigFold::default();
+    let mut fold = ConfigStateMachine::default();
     let change = put(&fold, &hall());
     publish(&mut fold, vec![change]);
     let mut snapshot = fold.snapshot("other");
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
+use larkwick::kernel::config::{Change, ChangeAction, ConfigStateMachine, Publish, Record};
 use larkwick::kernel::placement::{DemandByModel, plan_hall};
 use larkwick::kernel::policy::LoadedModel;
 use larkwick::kernel::rules::{Catalog, Workload};
@@ -13,7 +13,7 @@
 fn catalog(objects: &Value) -> Catalog {
     let text = json!({ "objects": objects }).to_string();
     let objects = parse_objects("objects", &text).expect("objects");
-    let mut fold = ConfigFold::default();
+    let mut fold = ConfigStateMachine::default();
     let changes = objects.into_iter().map(|object| Change {
         seen_revision: 0,
         action: ChangeAction::Put {
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_fold.rs
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 
 use larkwick::kernel::config::{
-    Change, ChangeAction, ConfigFold, ConfigState, LogRead, Publish, Record, RecordEffect, Verdict,
+    Change, ChangeAction, ConfigState, ConfigStateMachine, LogRead, Publish, Record, RecordEffect,
+    Verdict,
 };
 use larkwick::kernel::object::{Hall, Object, ObjectKey, ObjectKind};
 use uuid::Uuid;
@@ -84,8 +85,8 @@
     usize::try_from(offset).expect("a short log")
 }
 
-fn fold_of(state: &ConfigState) -> ConfigFold {
-    ConfigFold::from_state(state.clone()).with_base_window(WINDOW)
+fn fold_of(state: &ConfigState) -> ConfigStateMachine {
+    ConfigStateMachine::from_state(state.clone()).with_base_window(WINDOW)
 }
 
 impl Fold {
@@ -103,7 +104,7 @@
 
     /// Replays the whole log up to an offset. Returns the state and the effect of each record.
     fn replay(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
-        let mut fold = ConfigFold::default().with_base_window(WINDOW);
+        let mut fold = ConfigStateMachine::default().with_base_window(WINDOW);
         let effects = self.log[..until]
             .iter()
             .map(|record| fold.apply(Some(record)))
