--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -15,7 +15,9 @@
 use crate::kernel::estimate::{Spread, Survival};
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
-use crate::kernel::policy::{self, Candidate, Demand, InFlight, PolicyScope, tokens_as_f64};
+use crate::kernel::policy::{
+    self, Candidate, GenerationSize, InFlight, PolicyScope, tokens_as_f64,
+};
 use crate::kernel::rules::{AllowedEndpoint, Catalog, Workload};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
@@ -131,7 +133,7 @@
                     }
                 })
                 .collect();
-            let demand = Demand {
+            let demand = GenerationSize {
                 prompt_tokens: wanted.prompt_tokens,
                 max_tokens: wanted.max_tokens,
                 residual: Spread::default(),
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -11,7 +11,7 @@
 use super::estimate::Estimates;
 use super::fairness::{AccountUsage, QueueWaitEstimator};
 use super::policy::{
-    Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
+    Candidate, GenerationSize, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
 };
 use crate::error::{Error, ErrorKind};
 
@@ -332,7 +332,7 @@
         blocked: &HashSet<String>,
     ) -> Option<Grant> {
         let size = self.size_of(request, 0);
-        let demand = Demand {
+        let generation = GenerationSize {
             prompt_tokens: size.prompt_tokens,
             max_tokens: size.max_tokens,
             residual: size.residual,
@@ -344,7 +344,7 @@
             .filter(|name| !blocked.contains(*name))
             .filter_map(|name| self.candidate(name, request))
             .collect();
-        let chosen = self.policy.choose(&candidates, &demand, random)?;
+        let chosen = self.policy.choose(&candidates, &generation, random)?;
         let endpoint = candidates[chosen].name.to_owned();
         let state = self.endpoints.get_mut(&endpoint)?;
         state.in_flight.add(&size);
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -131,7 +131,7 @@
 
 /// Known and predicted size of a generation that is to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Demand {
+pub struct GenerationSize {
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
     /// Declared maximum length of the output, in tokens.
@@ -142,7 +142,7 @@
     pub survival: Survival,
 }
 
-impl Demand {
+impl GenerationSize {
     /// Returns the size of the stream that this generation would start.
     fn initial_stream_size(&self) -> StreamSize {
         StreamSize {
@@ -174,7 +174,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        demand: &Demand,
+        generation: &GenerationSize,
         random: &mut dyn Rng,
     ) -> Option<usize>;
 }
@@ -231,7 +231,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _: &Demand,
+        _: &GenerationSize,
         random: &mut dyn Rng,
     ) -> Option<usize> {
         (!candidates.is_empty()).then(|| random.random_range(0..candidates.len()))
@@ -253,7 +253,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _: &Demand,
+        _: &GenerationSize,
         random: &mut dyn Rng,
     ) -> Option<usize> {
         let load = |candidate: &Candidate<'_>| {
@@ -294,7 +294,12 @@
         PolicyScope::Group
     }
 
-    fn choose(&self, candidates: &[Candidate<'_>], _: &Demand, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(
+        &self,
+        candidates: &[Candidate<'_>],
+        _: &GenerationSize,
+        _: &mut dyn Rng,
+    ) -> Option<usize> {
         index_of_lowest(candidates, |candidate| {
             candidate.in_flight.held_tokens / candidate.capacity_tokens
         })
@@ -318,10 +323,10 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        demand: &Demand,
+        generation: &GenerationSize,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        let own_tokens = f64::from(demand.prompt_tokens) + f64::from(demand.max_tokens);
+        let own_tokens = f64::from(generation.prompt_tokens) + f64::from(generation.max_tokens);
         let declared_fill = |candidate: &Candidate<'_>| {
             (candidate.in_flight.declared_tokens + own_tokens) / candidate.capacity_tokens
         };
@@ -341,12 +346,12 @@
 /// among those that stay within their fill limit or have no streams.
 fn choose_by_predicted_fill(
     candidates: &[Candidate<'_>],
-    demand: &Demand,
+    generation: &GenerationSize,
     predicted_tokens: fn(&InFlight) -> f64,
 ) -> Option<usize> {
     let predicted_fill = |candidate: &Candidate<'_>| {
         let mut in_flight = candidate.in_flight;
-        in_flight.add(&demand.initial_stream_size());
+        in_flight.add(&generation.initial_stream_size());
         predicted_tokens(&in_flight) / candidate.capacity_tokens
     };
     let fits = |candidate: &Candidate<'_>| {
@@ -378,10 +383,10 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        demand: &Demand,
+        generation: &GenerationSize,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        choose_by_predicted_fill(candidates, demand, |in_flight| {
+        choose_by_predicted_fill(candidates, generation, |in_flight| {
             in_flight.predicted_tokens(HEADROOM_SIGMAS)
         })
     }
@@ -403,10 +408,10 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        demand: &Demand,
+        generation: &GenerationSize,
         _: &mut dyn Rng,
     ) -> Option<usize> {
-        choose_by_predicted_fill(candidates, demand, |in_flight| {
+        choose_by_predicted_fill(candidates, generation, |in_flight| {
             in_flight.predicted_peak_tokens(HEADROOM_SIGMAS)
         })
     }
