--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -132,7 +132,7 @@
         };
         let before = resident_kib();
         let mut book = DedupTable::new("i", Uuid::nil(), limits);
-        let ticket = book.ticket();
+        let ticket = book.issue_ticket();
         let arrive_us = mean_us(requests, |index| {
             let key = IdempotencyKey {
                 account: "account".to_owned(),
--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -48,7 +48,7 @@
 
     /// The ticket given out now.
     pub fn ticket(&self) -> Ticket {
-        self.book.lock().ticket()
+        self.book.lock().issue_ticket()
     }
 
     /// Epoch of that ticket.
--- a/src/kernel/ticket.rs
+++ b/src/kernel/ticket.rs
@@ -200,7 +200,7 @@
 
     /// Issues a ticket for this incarnation in the current epoch.
     #[must_use]
-    pub fn ticket(&self) -> Ticket {
+    pub fn issue_ticket(&self) -> Ticket {
         Ticket {
             instance: self.instance.clone(),
             incarnation: self.incarnation,
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -100,7 +100,7 @@
 
     fn take_ticket(&self, instance: usize) -> Self {
         let mut next = self.clone();
-        next.tickets.push(self.tables[instance].ticket());
+        next.tickets.push(self.tables[instance].issue_ticket());
         next.runs.push(0);
         next
     }
@@ -117,10 +117,10 @@
         let mut presented = self.tickets[ticket].clone();
         let mutant = self.mutant;
         if mutant == Mutant::RunsInsteadOfForwarding {
-            presented = self.tables[at].ticket();
+            presented = self.tables[at].issue_ticket();
         }
         if mutant == Mutant::IgnoresIncarnation && presented.instance == INSTANCE_NAMES[at] {
-            presented.incarnation = self.tables[at].ticket().incarnation;
+            presented.incarnation = self.tables[at].issue_ticket().incarnation;
         }
         if mutant == Mutant::AcceptsStale {
             presented.epoch = self.tables[at].epoch();
@@ -173,7 +173,7 @@
     /// Fills the table with the request of another caller.
     fn fill_table(&self, instance: usize) -> Self {
         let mut next = self.clone();
-        let ticket = next.tables[instance].ticket();
+        let ticket = next.tables[instance].issue_ticket();
         next.tables[instance].admit(&ticket, &key("other"), Reply::Ran, true);
         next
     }
