--- a/tests/kernel/config.rs
+++ b/tests/kernel/config.rs
@@ -8,33 +8,33 @@
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-fn put(fold: &ConfigStateMachine, object: &Value) -> Change {
+fn put(machine: &ConfigStateMachine, object: &Value) -> Change {
     let text = json!({"objects": [object]}).to_string();
     let object = parse_objects("object", &text).expect("object").remove(0);
     Change {
-        seen_revision: fold.state().revision(&object.key()),
+        seen_revision: machine.state().revision(&object.key()),
         action: ChangeAction::Put {
             object: Box::new(object),
         },
     }
 }
 
-fn delete(fold: &ConfigStateMachine, key: &str) -> Change {
+fn delete(machine: &ConfigStateMachine, key: &str) -> Change {
     let key = ObjectKey::try_from(key.to_owned()).expect("key");
     Change {
-        seen_revision: fold.state().revision(&key),
+        seen_revision: machine.state().revision(&key),
         action: ChangeAction::Delete { key },
     }
 }
 
-fn publish(fold: &mut ConfigStateMachine, changes: Vec<Change>) -> Verdict {
+fn publish(machine: &mut ConfigStateMachine, changes: Vec<Change>) -> Verdict {
     let record = Record::Publish(Publish {
         publish_id: Uuid::new_v4(),
-        base_offset: fold.state().next_offset,
+        base_offset: machine.state().next_offset,
         publisher: String::new(),
         changes,
     });
-    match fold.apply(Some(&record)) {
+    match machine.apply(Some(&record)) {
         RecordEffect::PublishDecided(verdict) => verdict,
         other => panic!("{other:?}"),
     }
@@ -50,65 +50,65 @@
 
 #[test]
 fn publish_endpoint_with_unknown_hall_rejected() {
-    let mut fold = ConfigStateMachine::default();
-    let change = put(&fold, &service());
+    let mut machine = ConfigStateMachine::default();
+    let change = put(&machine, &service());
     assert!(
-        matches!(publish(&mut fold, vec![change]), Verdict::Invalid(invalid) if invalid.field == "hall")
+        matches!(publish(&mut machine, vec![change]), Verdict::Invalid(invalid) if invalid.field == "hall")
     );
-    assert!(fold.state().objects.is_empty());
+    assert!(machine.state().objects.is_empty());
 }
 
 #[test]
 fn publish_endpoint_together_with_its_hall_accepted_in_any_order() {
     for hall_first in [true, false] {
-        let mut fold = ConfigStateMachine::default();
-        let mut changes = vec![put(&fold, &hall()), put(&fold, &service())];
+        let mut machine = ConfigStateMachine::default();
+        let mut changes = vec![put(&machine, &hall()), put(&machine, &service())];
         if !hall_first {
             changes.reverse();
         }
-        assert_eq!(publish(&mut fold, changes), Verdict::Accepted);
+        assert_eq!(publish(&mut machine, changes), Verdict::Accepted);
     }
 }
 
 #[test]
 fn publish_delete_of_hall_in_use_rejected_unless_its_endpoint_is_deleted_too() {
-    let mut fold = ConfigStateMachine::default();
-    let changes = vec![put(&fold, &hall()), put(&fold, &service())];
-    assert_eq!(publish(&mut fold, changes), Verdict::Accepted);
-    let delete_hall_only = vec![delete(&fold, "hall/h")];
+    let mut machine = ConfigStateMachine::default();
+    let changes = vec![put(&machine, &hall()), put(&machine, &service())];
+    assert_eq!(publish(&mut machine, changes), Verdict::Accepted);
+    let delete_hall_only = vec![delete(&machine, "hall/h")];
     assert!(matches!(
-        publish(&mut fold, delete_hall_only),
+        publish(&mut machine, delete_hall_only),
         Verdict::Invalid(_)
     ));
-    let delete_both = vec![delete(&fold, "hall/h"), delete(&fold, "endpoint/s")];
-    assert_eq!(publish(&mut fold, delete_both), Verdict::Accepted);
-    assert!(fold.state().objects.is_empty());
+    let delete_both = vec![delete(&machine, "hall/h"), delete(&machine, "endpoint/s")];
+    assert_eq!(publish(&mut machine, delete_both), Verdict::Accepted);
+    assert!(machine.state().objects.is_empty());
 }
 
 #[test]
 fn publish_with_stale_revision_conflicts_and_changes_nothing() {
-    let mut fold = ConfigStateMachine::default();
-    let stale = put(&fold, &hall());
-    let change = put(&fold, &hall());
-    assert_eq!(publish(&mut fold, vec![change]), Verdict::Accepted);
+    let mut machine = ConfigStateMachine::default();
+    let stale = put(&machine, &hall());
+    let change = put(&machine, &hall());
+    assert_eq!(publish(&mut machine, vec![change]), Verdict::Accepted);
     let other = put(
-        &fold,
+        &machine,
         &json!({"kind": "hall", "name": "other", "region": "r"}),
     );
     assert!(matches!(
-        publish(&mut fold, vec![other, stale]),
+        publish(&mut machine, vec![other, stale]),
         Verdict::Conflict { .. }
     ));
-    assert_eq!(fold.state().objects.len(), 1);
+    assert_eq!(machine.state().objects.len(), 1);
 }
 
 #[test]
 fn snapshot_with_other_digest_detected() {
-    let mut fold = ConfigStateMachine::default();
-    let change = put(&fold, &hall());
-    publish(&mut fold, vec![change]);
-    let mut snapshot = fold.snapshot("other");
-    let effect = fold
+    let mut machine = ConfigStateMachine::default();
+    let change = put(&machine, &hall());
+    publish(&mut machine, vec![change]);
+    let mut snapshot = machine.snapshot("other");
+    let effect = machine
         .clone()
         .apply(Some(&Record::Snapshot(Box::new(snapshot.clone()))));
     assert_eq!(
@@ -118,7 +118,7 @@
         }
     );
     snapshot.digest = "something else".to_owned();
-    let effect = fold.apply(Some(&Record::Snapshot(Box::new(snapshot))));
+    let effect = machine.apply(Some(&Record::Snapshot(Box::new(snapshot))));
     assert_eq!(
         effect,
         RecordEffect::Snapshot {
--- a/tests/kernel/placement.rs
+++ b/tests/kernel/placement.rs
@@ -13,20 +13,20 @@
 fn catalog(objects: &Value) -> Catalog {
     let text = json!({ "objects": objects }).to_string();
     let objects = parse_objects("objects", &text).expect("objects");
-    let mut fold = ConfigStateMachine::default();
+    let mut machine = ConfigStateMachine::default();
     let changes = objects.into_iter().map(|object| Change {
         seen_revision: 0,
         action: ChangeAction::Put {
             object: Box::new(object),
         },
     });
-    fold.apply(Some(&Record::Publish(Publish {
+    machine.apply(Some(&Record::Publish(Publish {
         publish_id: Uuid::nil(),
         base_offset: 0,
         publisher: String::new(),
         changes: changes.collect(),
     })));
-    Catalog::new(fold.state())
+    Catalog::new(machine.state())
 }
 
 fn engine(name: &str, tier: &str, model_slots: u32) -> Value {
--- a/tests/model/config_fold.rs
+++ b/tests/model/config_state.rs
@@ -54,7 +54,7 @@
 ];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Fold {
+struct ConfigModel {
     mutant: Mutant,
     /// All records ever appended; those before `first_retained` have expired.
     log: Vec<Arc<Record>>,
@@ -85,11 +85,11 @@
     usize::try_from(offset).expect("a short log")
 }
 
-fn fold_of(state: &ConfigState) -> ConfigStateMachine {
+fn machine_from(state: &ConfigState) -> ConfigStateMachine {
     ConfigStateMachine::from_state(state.clone()).with_base_window(WINDOW)
 }
 
-impl Fold {
+impl ConfigModel {
     fn initial(mutant: Mutant) -> Self {
         Self {
             mutant,
@@ -104,12 +104,12 @@
 
     /// Replays the whole log up to an offset. Returns the state and the effect of each record.
     fn replay(&self, until: usize) -> (ConfigState, Vec<RecordEffect>) {
-        let mut fold = ConfigStateMachine::default().with_base_window(WINDOW);
+        let mut machine = ConfigStateMachine::default().with_base_window(WINDOW);
         let effects = self.log[..until]
             .iter()
-            .map(|record| fold.apply(Some(record)))
+            .map(|record| machine.apply(Some(record)))
             .collect();
-        (fold.state().clone(), effects)
+        (machine.state().clone(), effects)
     }
 
     fn prepare_publish(&self, index: usize, reader: usize) -> Self {
@@ -155,7 +155,7 @@
 
     fn append_snapshot(&self, writer: usize) -> Self {
         let mut next = self.clone();
-        let snapshot = fold_of(&self.states[writer]).snapshot("writer");
+        let snapshot = machine_from(&self.states[writer]).snapshot("writer");
         next.log
             .push(Arc::new(Record::Snapshot(Box::new(snapshot))));
         next
@@ -177,23 +177,23 @@
             .iter()
             .map(|record| Some(Record::clone(record)))
             .collect();
-        let mut fold = fold_of(&self.states[reader]);
+        let mut machine = machine_from(&self.states[reader]);
         let is_behind = self.states[reader].next_offset < self.first_retained;
         if is_behind && self.mutant == Mutant::SkipsLogGaps {
             let mut skipped = ConfigState::clone(&self.states[reader]);
             skipped.next_offset = self.first_retained;
-            fold = fold_of(&skipped);
+            machine = machine_from(&skipped);
         }
         if is_behind && self.mutant == Mutant::InstallsIncompleteSnapshot {
             for record in retained.iter().flatten() {
                 if let Record::Snapshot(snapshot) = record {
-                    fold.install_snapshot(snapshot, 0);
+                    machine.install_snapshot(snapshot, 0);
                 }
             }
-            let mut skipped = fold.state().clone();
+            let mut skipped = machine.state().clone();
             skipped.next_offset = skipped.next_offset.max(self.first_retained);
-            if fold.state().next_offset > 0 {
-                fold = fold_of(&skipped);
+            if machine.state().next_offset > 0 {
+                machine = machine_from(&skipped);
             }
         }
         let read = LogRead {
@@ -201,8 +201,8 @@
             records: &retained,
         };
         // If no snapshot closes a gap, the state does not change.
-        let _ = fold.catch_up(&read);
-        self.with_state(reader, fold.state().clone())
+        let _ = machine.catch_up(&read);
+        self.with_state(reader, machine.state().clone())
     }
 
     fn install_state_from_peer(&self, reader: usize) -> Self {
@@ -210,9 +210,9 @@
         if self.mutant == Mutant::InstallsOlderPeerState {
             return self.with_state(reader, peer_state);
         }
-        let mut fold = fold_of(&self.states[reader]);
-        fold.install_peer_state(peer_state);
-        self.with_state(reader, fold.state().clone())
+        let mut machine = machine_from(&self.states[reader]);
+        machine.install_peer_state(peer_state);
+        self.with_state(reader, machine.state().clone())
     }
 
     fn with_state(&self, reader: usize, state: ConfigState) -> Self {
@@ -232,7 +232,7 @@
     }
 }
 
-impl State for Fold {
+impl State for ConfigModel {
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         let has_log_space = self.log.len() < MAX_LOG_LENGTH;
@@ -288,12 +288,12 @@
 }
 
 #[test]
-fn config_fold_all_states_safe() {
-    assert_safe("configuration fold", &Fold::initial(Mutant::None));
+fn config_state_all_states_safe() {
+    assert_safe("configuration state", &ConfigModel::initial(Mutant::None));
 }
 
 #[test]
-fn config_fold_mutants_caught() {
+fn config_state_mutants_caught() {
     for mutant in [
         Mutant::InstallsIncompleteSnapshot,
         Mutant::SkipsLogGaps,
@@ -301,8 +301,8 @@
         Mutant::InstallsOlderPeerState,
     ] {
         assert_caught(
-            &format!("configuration fold {mutant:?}"),
-            &Fold::initial(mutant),
+            &format!("configuration state {mutant:?}"),
+            &ConfigModel::initial(mutant),
         );
     }
 }
--- a/tests/model/tickets.rs
+++ b/tests/model/tickets.rs
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Tickets {
+struct TicketModel {
     mutant: Mutant,
     tables: [DedupTable<Reply>; INSTANCES],
     restarts: u8,
@@ -77,7 +77,7 @@
     )
 }
 
-impl Tickets {
+impl TicketModel {
     fn initial(mutant: Mutant) -> Self {
         Self {
             mutant,
@@ -179,7 +179,7 @@
     }
 }
 
-impl State for Tickets {
+impl State for TicketModel {
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         for instance in 0..INSTANCES {
@@ -226,7 +226,7 @@
 
 #[test]
 fn tickets_all_states_safe() {
-    assert_safe("tickets", &Tickets::initial(Mutant::None));
+    assert_safe("tickets", &TicketModel::initial(Mutant::None));
 }
 
 #[test]
@@ -239,6 +239,9 @@
         Mutant::AcceptsStale,
         Mutant::IncarnationGoneIsNotRun,
     ] {
-        assert_caught(&format!("tickets {mutant:?}"), &Tickets::initial(mutant));
+        assert_caught(
+            &format!("tickets {mutant:?}"),
+            &TicketModel::initial(mutant),
+        );
     }
 }
