--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -41,7 +41,7 @@
 
 /// Totals over the streams that the owner of a group has granted on one endpoint.
 ///
-/// Unlike a [`LoadReport`] they do not lag, because the owner counts its own grants.
+/// Unlike a [`LoadReport`], they include a grant as soon as it is made.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct InFlight {
     /// Number of streams granted and not released.
