--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use larkwick::kernel::clock::SystemClock;
-use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
+use larkwick::kernel::config::{Change, ChangeAction, ConfigStateMachine, Publish, Record};
 use larkwick::kernel::group::{GroupLedger, GroupLimits, ReserveRequest};
 use larkwick::kernel::membership::{Incarnation, Listed, Members, PeerStatus};
 use larkwick::kernel::object::{ClientAccount, Object};
 use larkwick::kernel::policy;
 use larkwick::kernel::rules::Catalog;
-use larkwick::kernel::ticket::{OnceKey, TicketBook, TicketLimits};
+use larkwick::kernel::ticket::{DedupTable, IdempotencyKey, TicketLimits};
 use larkwick::standin::platform::PlatformCore;
 use larkwick::{App, Settings, any_loopback_port, log_service};
 use rand::SeedableRng;
@@ -59,13 +59,13 @@
 fn account(index: u32) -> Object {
     Object::ClientAccount(ClientAccount {
         name: format!("account-{index}"),
-        labels: larkwick::kernel::label::Labels::default().with("size", "small"),
+        labels: larkwick::kernel::label::Labels::default().with_label("size", "small"),
         key_blake3: blake3::hash(&index.to_le_bytes()).to_hex().to_string(),
         share: 1,
     })
 }
 
-fn publish(fold: &ConfigFold, object: Object) -> Record {
+fn publish(fold: &ConfigStateMachine, object: Object) -> Record {
     Record::Publish(Publish {
         publish_id: Uuid::new_v4(),
         base_offset: fold.state().next_offset,
@@ -86,7 +86,7 @@
     println!("|---:|---:|---:|---:|---:|---:|");
     for objects in [1_000_u32, 5_000, 20_000] {
         let before = resident_kib();
-        let mut fold = ConfigFold::default();
+        let mut fold = ConfigStateMachine::default();
         let changes = (0..objects).map(|index| Change {
             seen_revision: 0,
             action: ChangeAction::Put {
@@ -131,14 +131,14 @@
             ..TicketLimits::default()
         };
         let before = resident_kib();
-        let mut book = TicketBook::new("i", Uuid::nil(), limits);
-        let ticket = book.ticket();
+        let mut book = DedupTable::new("i", Uuid::nil(), limits);
+        let ticket = book.issue_ticket();
         let arrive_us = mean_us(requests, |index| {
-            let key = OnceKey {
+            let key = IdempotencyKey {
                 account: "account".to_owned(),
                 key: format!("request {index}"),
             };
-            black_box(book.arrive(&ticket, &key, Arc::new(index), true));
+            black_box(book.admit(&ticket, &key, Arc::new(index), true));
         });
         let memory = (resident_kib() - before) * 1024 / i64::from(requests);
         let advance_us = mean_us(3, |_| book.advance_epoch());
@@ -176,9 +176,9 @@
         let reserve_us = mean_us(streams, |index| {
             black_box(ledger.reserve(&request(index), now, &mut random));
         });
-        let recount_us = mean_us(50, |_| ledger.recount(now));
+        let recount_us = mean_us(50, |_| ledger.refresh_in_flight(now));
         let settle_us = mean_us(50, |_| {
-            black_box(ledger.settle(now, &mut random));
+            black_box(ledger.process_queue(now, &mut random));
         });
         println!("| {streams} | {reserve_us:.1} | {recount_us:.0} | {settle_us:.1} |");
     }
--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -10,7 +10,7 @@
 use spdlog::{info, warn};
 
 use super::node::Node;
-use crate::kernel::config::{Applied, ConfigFold, ConfigState, LogRead, Record};
+use crate::kernel::config::{ConfigState, ConfigStateMachine, LogRead, Record, RecordEffect};
 use crate::kernel::lease::Held;
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::rules::Catalog;
@@ -39,7 +39,7 @@
 
 #[derive(Default)]
 struct Inner {
-    fold: ConfigFold,
+    fold: ConfigStateMachine,
     /// The newest records applied, oldest first; the last one has offset `next_offset - 1`.
     recent: VecDeque<Value>,
     /// When the log or a live peer last confirmed this state.
@@ -159,7 +159,10 @@
         inner.note_snapshots(&records, now);
     }
     inner.note_disagreements(&applied);
-    let changed = jumped || applied.iter().any(|one| matches!(one, Applied::Decided(_)));
+    let changed = jumped
+        || applied
+            .iter()
+            .any(|one| matches!(one, RecordEffect::PublishDecided(_)));
     let catalog = changed.then(|| Catalog::new(inner.fold.state()));
     drop(inner);
     install(node, catalog);
@@ -187,9 +190,9 @@
         }
     }
 
-    fn note_disagreements(&mut self, applied: &[Applied]) {
-        let disagree = Applied::Snapshot {
-            agrees: Some(false),
+    fn note_disagreements(&mut self, applied: &[RecordEffect]) {
+        let disagree = RecordEffect::Snapshot {
+            digest_matches: Some(false),
         };
         let count = applied.iter().filter(|one| **one == disagree).count() as u64;
         if count > 0 {
@@ -255,7 +258,7 @@
         .map_err(|error| tonic::Status::data_loss(error.to_string()))?;
     let catalog = {
         let mut inner = node.config.inner.lock();
-        if !inner.fold.adopt_from_peer(state) {
+        if !inner.fold.install_peer_state(state) {
             return Ok(());
         }
         inner.recent.clear();
--- a/src/daemon/once.rs
+++ b/src/daemon/once.rs
@@ -8,7 +8,7 @@
 
 use super::answer::RememberedAnswer;
 use crate::error::{Error, ErrorKind};
-use crate::kernel::ticket::{Arrival, OnceKey, Ticket, TicketBook, TicketLimits};
+use crate::kernel::ticket::{DedupDecision, DedupTable, IdempotencyKey, Ticket, TicketLimits};
 
 /// What to do with an arrival.
 pub enum OnceDecision {
@@ -24,7 +24,7 @@
 
 /// The memory of one instance.
 pub struct OnceMemory {
-    book: Mutex<TicketBook<Handle>>,
+    book: Mutex<DedupTable<Handle>>,
     bytes: AtomicUsize,
     bytes_max: usize,
 }
@@ -40,7 +40,7 @@
             ..TicketLimits::default()
         };
         Self {
-            book: Mutex::new(TicketBook::new(instance, incarnation, limits)),
+            book: Mutex::new(DedupTable::new(instance, incarnation, limits)),
             bytes: AtomicUsize::new(0),
             bytes_max,
         }
@@ -48,7 +48,7 @@
 
     /// The ticket given out now.
     pub fn ticket(&self) -> Ticket {
-        self.book.lock().ticket()
+        self.book.lock().issue_ticket()
     }
 
     /// Epoch of that ticket.
@@ -75,28 +75,28 @@
     }
 
     /// Decides on an arrival.
-    pub fn arrive(&self, ticket: &Ticket, key: &OnceKey) -> OnceDecision {
+    pub fn arrive(&self, ticket: &Ticket, key: &IdempotencyKey) -> OnceDecision {
         let has_room = self.bytes() < self.bytes_max;
         let handle = Handle(Arc::default());
-        let arrival = self.book.lock().arrive(ticket, key, handle, has_room);
+        let arrival = self.book.lock().admit(ticket, key, handle, has_room);
         let refuse = |kind, message: &str| OnceDecision::Refuse(Error::new(kind, message));
         match arrival {
-            Arrival::Run(handle) => OnceDecision::Run(handle.0),
-            Arrival::Join(handle) => OnceDecision::Join(handle.0),
-            Arrival::Relay => OnceDecision::Relay,
-            Arrival::Gone => refuse(
+            DedupDecision::Run(handle) => OnceDecision::Run(handle.0),
+            DedupDecision::Join(handle) => OnceDecision::Join(handle.0),
+            DedupDecision::Relay => OnceDecision::Relay,
+            DedupDecision::IncarnationGone => refuse(
                 ErrorKind::InstanceGone,
                 "the instance of this ticket was replaced; whether the request ran is unknown",
             ),
-            Arrival::Stale => refuse(
+            DedupDecision::Stale => refuse(
                 ErrorKind::TicketStale,
                 "the ticket is too old; take a new one from /v1/entries",
             ),
-            Arrival::Forgotten => refuse(
+            DedupDecision::Forgotten => refuse(
                 ErrorKind::TicketForgotten,
                 "the ticket is so old that it is unknown whether the request ran",
             ),
-            Arrival::Full => refuse(
+            DedupDecision::Full => refuse(
                 ErrorKind::OnceMemoryFull,
                 "too many requests are remembered here; take a new ticket for another instance",
             ),
@@ -104,7 +104,7 @@
     }
 
     /// Counts a whole answer and records whether the request did not run.
-    pub fn finished(&self, key: &OnceKey, answer: &RememberedAnswer) {
+    pub fn finished(&self, key: &IdempotencyKey, answer: &RememberedAnswer) {
         self.bytes.fetch_add(answer.size_bytes(), Ordering::Relaxed);
         if answer.is_not_run() {
             self.book.lock().record_not_run(key);
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -15,11 +15,12 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::clock::millis;
 use crate::kernel::group::{
-    Decision, Grant, GroupLedger, GroupLimits, GroupSummary, Lapsed, ReserveRequest, Settled,
+    Decision, ExpiredReservation, Grant, GroupLedger, GroupLimits, GroupSummary, QueueDecision,
+    ReserveRequest,
 };
 use crate::kernel::membership::rendezvous;
 use crate::kernel::object::{Endpoint as EndpointObject, EndpointRole};
-use crate::kernel::policy::{self, LoadReport, Scope};
+use crate::kernel::policy::{self, LoadReport, PolicyScope};
 use crate::kernel::rules::Catalog;
 use crate::peer::generated as wire;
 use crate::settings::ms;
@@ -101,21 +102,21 @@
     /// Takes a load report.
     pub(crate) fn report(&self, endpoint: &str, report: &LoadReport) {
         for (_, group) in self.all() {
-            group.ledger.lock().report(endpoint, report);
+            group.ledger.lock().record_load_report(endpoint, report);
         }
     }
 
     /// Takes a cache event.
     pub(crate) fn cached(&self, endpoint: &str, prefix: u64) {
         for (_, group) in self.all() {
-            group.ledger.lock().cached(endpoint, prefix);
+            group.ledger.lock().record_cached_prefix(endpoint, prefix);
         }
     }
 }
 
 impl Group {
     /// Wakes the requests that waited. What was granted to one that went away is released.
-    fn answer(&self, settled: Vec<Settled>) {
+    fn answer(&self, settled: Vec<QueueDecision>) {
         for one in settled {
             let waiter = self.waiters.lock().remove(&one.reservation_id);
             let taken = waiter.is_some_and(|waiter| waiter.send(one.result).is_ok());
@@ -128,8 +129,8 @@
 
 impl Node {
     /// Who applies the policy of the settings.
-    pub(crate) fn policy_scope(&self) -> Scope {
-        policy::build(&self.settings.policy).map_or(Scope::Group, |policy| policy.scope())
+    pub(crate) fn policy_scope(&self) -> PolicyScope {
+        policy::build(&self.settings.policy).map_or(PolicyScope::Group, |policy| policy.scope())
     }
 
     /// The owner of a group: by the live view of the hall's instances, or of all where the hall has none.
@@ -358,9 +359,9 @@
         let generation = Some(progress.generation.as_str()).filter(|text| !text.is_empty());
         {
             let mut ledger = group.ledger.lock();
-            ledger.progress(id, progress.made_tokens, generation, now);
+            ledger.record_progress(id, progress.made_tokens, generation, now);
             if progress.finished {
-                ledger.finished(id, progress.made_tokens);
+                ledger.record_output_length(id, progress.made_tokens);
             }
             if progress.released {
                 ledger.release(id);
@@ -371,7 +372,7 @@
             .store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
-    fn settle_group(&self, group: &Group) -> Vec<Lapsed> {
+    fn settle_group(&self, group: &Group) -> Vec<ExpiredReservation> {
         let now = self.now();
         let dirty = group
             .dirty
@@ -382,11 +383,11 @@
         }
         let (settled, lapsed) = {
             let mut ledger = group.ledger.lock();
-            let lapsed = ledger.expire(now);
+            let lapsed = ledger.expire_reservations(now);
             if due || (dirty && ledger.has_waiting()) {
-                ledger.recount(now);
+                ledger.refresh_in_flight(now);
             }
-            let settled = ledger.settle(now, &mut rand::rng());
+            let settled = ledger.process_queue(now, &mut rand::rng());
             (settled, lapsed)
         };
         group.answer(settled);
@@ -394,7 +395,7 @@
     }
 
     /// Cancels what a silent entry left behind, unless its caller reads it through another entry.
-    async fn cancel_lapsed(self: Arc<Self>, lapsed: Lapsed) {
+    async fn cancel_lapsed(self: Arc<Self>, lapsed: ExpiredReservation) {
         info!("reservation lapsed", kv: { endpoint = lapsed.endpoint.as_str() });
         metrics::counter!("larkwick_reservations_lapsed_total").increment(1);
         tokio::time::sleep(ms(self.settings.times.resume_ms)).await;
--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -15,8 +15,10 @@
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::length_estimates::{Survival, TokenStats};
 use crate::kernel::object::{ClientAccount, Endpoint as EndpointObject, Model};
-use crate::kernel::policy::{self, Candidate, Demand, InFlight, Scope, approximate};
-use crate::kernel::rules::{Allowed, Catalog, Work};
+use crate::kernel::policy::{
+    self, Candidate, GenerationSize, InFlight, PolicyScope, tokens_as_f64,
+};
+use crate::kernel::rules::{AllowedEndpoint, Catalog, Workload};
 use crate::peer::client::within;
 use crate::peer::convert::reserve_to_wire;
 
@@ -59,9 +61,9 @@
     /// Finds a place.
     pub(crate) async fn find_place(self: &Arc<Self>, wanted: &PlaceWanted<'_>) -> Result<Place> {
         let catalog = self.catalog();
-        let work = Work::Model(&wanted.model.name);
-        let allowed: Vec<Allowed> = catalog
-            .allowed(wanted.account, work)?
+        let work = Workload::Model(&wanted.model.name);
+        let allowed: Vec<AllowedEndpoint> = catalog
+            .allowed_endpoints(wanted.account, work)?
             .into_iter()
             .filter(|one| self.may_go_to(&catalog.endpoints[one.index].name, wanted.excluded))
             .collect();
@@ -69,8 +71,8 @@
             return Err(no_endpoint());
         }
         match self.policy_scope() {
-            Scope::Entry => self.place_alone(&catalog, wanted, &allowed),
-            Scope::Group => self.place_by_owner(&catalog, wanted, &allowed).await,
+            PolicyScope::Entry => self.place_alone(&catalog, wanted, &allowed),
+            PolicyScope::Group => self.place_by_owner(&catalog, wanted, &allowed).await,
         }
     }
 
@@ -80,7 +82,7 @@
     }
 
     /// This entry's own hall first, then the others in random order.
-    fn hall_order(&self, catalog: &Catalog, allowed: &[Allowed]) -> Vec<String> {
+    fn hall_order(&self, catalog: &Catalog, allowed: &[AllowedEndpoint]) -> Vec<String> {
         let mut halls: Vec<String> = allowed
             .iter()
             .map(|one| catalog.endpoints[one.index].hall.clone())
@@ -96,11 +98,11 @@
         &self,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        allowed: &[Allowed],
+        allowed: &[AllowedEndpoint],
     ) -> Result<Place> {
         let policy = policy::build(&self.settings.policy).ok_or_else(no_endpoint)?;
         for hall in self.hall_order(catalog, allowed) {
-            let here: Vec<&Allowed> = allowed
+            let here: Vec<&AllowedEndpoint> = allowed
                 .iter()
                 .filter(|one| catalog.endpoints[one.index].hall == hall)
                 .filter(|one| self.takes_work(&catalog.endpoints[one.index].name))
@@ -123,7 +125,7 @@
                     let endpoint = &catalog.endpoints[one.index];
                     Candidate {
                         name: &endpoint.name,
-                        capacity_tokens: approximate(capacity(endpoint)),
+                        capacity_tokens: tokens_as_f64(capacity(endpoint)),
                         report: report.as_ref(),
                         in_flight: InFlight::default(),
                         fill_limit: 1.0,
@@ -131,7 +133,7 @@
                     }
                 })
                 .collect();
-            let demand = Demand {
+            let demand = GenerationSize {
                 prompt_tokens: wanted.prompt_tokens,
                 max_tokens: wanted.max_tokens,
                 residual: TokenStats::default(),
@@ -148,7 +150,7 @@
         &self,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        chosen: &Allowed,
+        chosen: &AllowedEndpoint,
     ) -> Place {
         let endpoint = catalog.endpoints[chosen.index].clone();
         let model = wanted.model;
@@ -164,7 +166,7 @@
         }
     }
 
-    fn group_choices(&self, catalog: &Catalog, allowed: &[Allowed]) -> Vec<GroupChoice> {
+    fn group_choices(&self, catalog: &Catalog, allowed: &[AllowedEndpoint]) -> Vec<GroupChoice> {
         let mut choices = Vec::new();
         for hall in self.hall_order(catalog, allowed) {
             let mut of_hall: Vec<GroupChoice> = groups_of_hall(&hall, catalog.endpoints.iter())
@@ -194,7 +196,7 @@
         self: &Arc<Self>,
         catalog: &Catalog,
         wanted: &PlaceWanted<'_>,
-        allowed: &[Allowed],
+        allowed: &[AllowedEndpoint],
     ) -> Result<Place> {
         let choices = self.group_choices(catalog, allowed);
         let mut crowded = None;
@@ -306,9 +308,9 @@
     catalog: &Catalog,
     group: String,
     members: &[&EndpointObject],
-    allowed: &[Allowed],
+    allowed: &[AllowedEndpoint],
 ) -> Option<GroupChoice> {
-    let in_group: Vec<&Allowed> = allowed
+    let in_group: Vec<&AllowedEndpoint> = allowed
         .iter()
         .filter(|one| {
             let name = &catalog.endpoints[one.index].name;
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -13,7 +13,7 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
 use crate::kernel::object::Endpoint as EndpointObject;
-use crate::kernel::rules::Work;
+use crate::kernel::rules::Workload;
 use crate::settings::ms;
 
 /// Runs the call and writes its answer.
@@ -36,7 +36,7 @@
         return Err(Error::new(ErrorKind::Internal, "not a service call"));
     };
     let catalog = node.catalog();
-    let account = catalog.account(&request.bearer_key)?;
+    let account = catalog.account_for_key(&request.bearer_key)?;
     let call = ServiceCall {
         path: path.clone(),
         content_type: content_type.clone(),
@@ -46,7 +46,7 @@
     };
     let deadline = request.options.deadline;
     let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
-    let allowed = catalog.allowed(account, Work::Service(service))?;
+    let allowed = catalog.allowed_endpoints(account, Workload::Service(service))?;
     let mut endpoints: Vec<EndpointObject> = allowed
         .iter()
         .map(|one| catalog.endpoints[one.index].clone())
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -1,4 +1,5 @@
-//! The ledger of an endpoint group's owner: reservations, predicted memory, and a bounded fair queue.
+//! Admission control for a group of endpoints, run by the owner of the group: reservations,
+//! predicted KV-cache memory use and a bounded fair queue.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -7,21 +8,21 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use super::fairness::{GrantPace, Usage};
+use super::fairness::{AccountUsage, QueueWaitEstimator};
 use super::length_estimates::LengthEstimates;
 use super::policy::{
-    Candidate, Demand, InFlight, LoadReport, RoutingPolicy, StreamSize, approximate,
+    Candidate, GenerationSize, InFlight, LoadReport, RoutingPolicy, StreamSize, tokens_as_f64,
 };
 use crate::error::{Error, ErrorKind};
 
-/// Limits of a group.
+/// Limits of an endpoint group.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct GroupLimits {
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue_length: usize,
-    /// Longest wait.
+    /// Maximum time that a request may be queued.
     pub queue_wait: Duration,
-    /// A reservation whose entry reports nothing for this long lapses.
+    /// Time without a progress report from the entry after which a reservation expires.
     pub reservation_ttl: Duration,
 }
 
@@ -35,68 +36,68 @@
     }
 }
 
-/// A request for a place on one of the group's endpoints.
+/// A request to reserve capacity on one of the group's endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// Chosen by the entry; a second copy gets the first one's answer.
+    /// Idempotency id chosen by the entry. A duplicate gets the same grant.
     pub reservation_id: Uuid,
-    /// Instance that will stream.
+    /// Instance that will stream the output to the caller.
     pub entry: String,
     /// Client account.
     pub account: String,
-    /// The account's share.
+    /// Fair-queueing weight of the account.
     pub share: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt, in tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Declared maximum of the output, in tokens.
+    /// Declared maximum length of the output, in tokens.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Queue priority; requests with higher values are granted first.
     pub priority: i32,
-    /// Time left until the request is worthless; zero for a request that must not wait.
+    /// Time left until the deadline of the request; zero for a request that must not be queued.
     pub deadline: Duration,
-    /// Hash of the prompt's beginning, for cache affinity.
+    /// Hash of the beginning of the prompt, for prefix-cache affinity.
     pub prefix: u64,
-    /// Names of endpoints that rules allow.
+    /// Names of the endpoints that the rules allow.
     pub candidates: Vec<String>,
 }
 
-/// A granted place.
+/// A granted reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The reservation.
+    /// Id of the reservation.
     pub reservation_id: Uuid,
-    /// Where to stream from.
+    /// Endpoint that serves the request.
     pub endpoint: String,
 }
 
-/// What became of a request.
+/// Immediate decision on a [`ReserveRequest`].
 #[derive(Debug, Clone)]
 pub enum Decision {
-    /// A place is reserved.
+    /// Capacity is reserved.
     Granted(Grant),
-    /// It waits; [`GroupLedger::settle`] will decide.
+    /// The request is queued; [`GroupLedger::process_queue`] decides on it later.
     Queued,
-    /// Final.
+    /// The request is refused and not queued.
     Refused(Error),
 }
 
-/// A decision on a request that waited.
+/// Decision on a queued request.
 #[derive(Debug, Clone)]
-pub struct Settled {
-    /// The reservation.
+pub struct QueueDecision {
+    /// Id of the reservation.
     pub reservation_id: Uuid,
-    /// Place or error.
+    /// The grant, or the error to answer with.
     pub result: Result<Grant, Error>,
 }
 
-/// A reservation that lapsed because its entry went silent.
+/// A reservation that expired because its entry stopped reporting progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lapsed {
-    /// Endpoint.
+pub struct ExpiredReservation {
+    /// Endpoint of the reservation.
     pub endpoint: String,
-    /// The generation there, where the entry had named it.
+    /// Id of the generation on the endpoint, if the entry has reported it.
     pub generation: Option<String>,
 }
 
@@ -104,48 +105,49 @@
 struct Stream {
     request: ReserveRequest,
     endpoint: String,
-    /// As last reported.
-    made_tokens: u32,
+    /// Tokens generated as of the last report.
+    generated_tokens: u32,
     generation: Option<String>,
     granted_at: Duration,
     last_report: Duration,
 }
 
 impl Stream {
-    /// Tokens made by now: as reported, and since then at the stream's own mean speed.
-    fn made_by(&self, now: Duration) -> u32 {
-        let took = self
+    /// Estimates the tokens generated by `now`: the reported ones, extrapolated at the mean token
+    /// rate of the stream.
+    fn estimated_tokens_at(&self, now: Duration) -> u32 {
+        let reported_s = self
             .last_report
             .saturating_sub(self.granted_at)
             .as_secs_f64();
-        if self.made_tokens == 0 || took <= 0.0 {
-            return self.made_tokens;
+        if self.generated_tokens == 0 || reported_s <= 0.0 {
+            return self.generated_tokens;
         }
-        let per_s = f64::from(self.made_tokens) / took;
-        let since = now.saturating_sub(self.last_report).min(EXTRAPOLATED_FOR);
+        let tokens_per_s = f64::from(self.generated_tokens) / reported_s;
+        let since_report = now.saturating_sub(self.last_report).min(MAX_EXTRAPOLATION);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a small number of tokens, not negative"
         )]
-        let more = (per_s * since.as_secs_f64()) as u32;
-        self.made_tokens
-            .saturating_add(more)
+        let extrapolated = (tokens_per_s * since_report.as_secs_f64()) as u32;
+        self.generated_tokens
+            .saturating_add(extrapolated)
             .min(self.request.max_tokens)
     }
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueuedRequest {
     request: ReserveRequest,
-    /// Absolute, on this owner's clock.
+    /// Absolute time on the clock of the owner.
     deadline: Duration,
-    arrived: Duration,
+    queued_at: Duration,
 }
 
-/// An endpoint of the group.
+/// State of one endpoint of the group.
 #[derive(Debug, Clone)]
-struct Place {
+struct EndpointState {
     capacity_tokens: f64,
     report: Option<LoadReport>,
     in_flight: InFlight,
@@ -153,80 +155,82 @@
     prefixes: VecDeque<u64>,
 }
 
-/// A stream that reports nothing is assumed to grow for this long.
-const EXTRAPOLATED_FOR: Duration = Duration::from_secs(1);
+/// Maximum time since the last report over which the growth of a stream is extrapolated.
+const MAX_EXTRAPOLATION: Duration = Duration::from_secs(1);
 const FILL_LIMIT_START: f64 = 1.0;
 const FILL_LIMIT_MIN: f64 = 0.5;
 const FILL_LIMIT_MAX: f64 = 2.0;
-/// Factor on the fill limit at a report that shows preemptions.
+/// Factor applied to the fill limit on a load report that shows new preemptions.
 const FILL_LIMIT_DECREASE: f64 = 0.95;
-/// Added to the fill limit per report without preemptions while requests wait.
+/// Increase of the fill limit on a load report without new preemptions while requests are queued.
 const FILL_LIMIT_INCREASE: f64 = 0.01;
-/// Reported memory use above which the fill limit does not grow.
-const FULL_ENOUGH: f64 = 0.85;
-const PREFIXES_KEPT: usize = 512;
+/// Reported memory use, as a fraction of capacity, at and above which the fill limit does not grow.
+const FILL_LIMIT_GROWTH_MAX_USE: f64 = 0.85;
+/// Prefix hashes remembered per endpoint.
+const MAX_TRACKED_PREFIXES: usize = 512;
 
-/// The ledger of one group.
+/// Reservations, queue and endpoint state of one group.
 pub struct GroupLedger {
     policy: Box<dyn RoutingPolicy>,
     limits: GroupLimits,
-    /// Output lengths seen in this group.
+    /// Output length estimates from the generations finished in this group.
     estimates: LengthEstimates,
-    places: BTreeMap<String, Place>,
+    endpoints: BTreeMap<String, EndpointState>,
     streams: HashMap<Uuid, Stream>,
-    waiting: Vec<Waiting>,
-    usage: Usage,
-    pace: GrantPace,
+    queue: Vec<QueuedRequest>,
+    usage: AccountUsage,
+    wait_estimator: QueueWaitEstimator,
 }
 
-/// Counts for the dump and metrics.
+/// Counters of a group for the state dump.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GroupSummary {
-    /// Streams in flight.
+    /// Number of streams in flight.
     pub streams: usize,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: usize,
-    /// Per endpoint.
-    pub places: Vec<PlaceSummary>,
+    /// Counters per endpoint.
+    #[serde(rename = "places")]
+    pub endpoints: Vec<EndpointSummary>,
 }
 
-/// One endpoint in [`GroupSummary`].
+/// Counters of one endpoint in a [`GroupSummary`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PlaceSummary {
-    /// Name.
+pub struct EndpointSummary {
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Streams granted.
+    /// Number of granted streams.
     pub streams: u32,
-    /// Tokens held.
+    /// Prompt and output tokens held in memory.
     pub held_tokens: f64,
-    /// Highest memory predicted, at one standard deviation.
+    /// Predicted peak memory use plus one standard deviation, in tokens.
     pub predicted_peak_tokens: f64,
-    /// Share of memory that predicted tokens may fill.
+    /// Fraction of the memory that predicted tokens may fill.
     pub fill_limit: f64,
 }
 
 impl GroupLedger {
-    /// An empty ledger.
+    /// Creates a ledger without endpoints or reservations.
     #[must_use]
     pub fn new(policy: Box<dyn RoutingPolicy>, limits: GroupLimits) -> Self {
         Self {
             policy,
             limits,
             estimates: LengthEstimates::default(),
-            places: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             streams: HashMap::new(),
-            waiting: Vec::new(),
-            usage: Usage::default(),
-            pace: GrantPace::new(limits.queue_wait),
+            queue: Vec::new(),
+            usage: AccountUsage::default(),
+            wait_estimator: QueueWaitEstimator::new(limits.queue_wait),
         }
     }
 
-    /// Adds an endpoint or changes its memory.
+    /// Adds an endpoint or updates its memory capacity.
     pub fn set_endpoint(&mut self, name: &str, capacity_tokens: u64) {
-        let capacity_tokens = approximate(capacity_tokens);
-        self.places
+        let capacity_tokens = tokens_as_f64(capacity_tokens);
+        self.endpoints
             .entry(name.to_owned())
-            .or_insert_with(|| Place {
+            .or_insert_with(|| EndpointState {
                 capacity_tokens,
                 report: None,
                 in_flight: InFlight::default(),
@@ -236,41 +240,45 @@
             .capacity_tokens = capacity_tokens;
     }
 
-    /// Takes an endpoint's lagging report. Preemptions seen lower its fill limit; waiting requests raise it.
-    pub fn report(&mut self, endpoint: &str, report: &LoadReport) {
-        let crowded = !self.waiting.is_empty();
-        let Some(place) = self.places.get_mut(endpoint) else {
+    /// Records a load report of an endpoint, which lags behind its present load.
+    ///
+    /// New preemptions lower the fill limit of the endpoint. Without preemptions, queued requests
+    /// raise it as long as the reported memory use is moderate.
+    pub fn record_load_report(&mut self, endpoint: &str, report: &LoadReport) {
+        let has_queue = !self.queue.is_empty();
+        let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        let same = place
+        let same_incarnation = state
             .report
             .as_ref()
             .filter(|last| last.incarnation == report.incarnation);
-        let preempted = same.is_some_and(|last| report.preemptions_total > last.preemptions_total);
-        let used = approximate(report.kv_used_tokens) / place.capacity_tokens;
-        if preempted {
-            place.fill_limit = (place.fill_limit * FILL_LIMIT_DECREASE).max(FILL_LIMIT_MIN);
-        } else if crowded && used < FULL_ENOUGH {
-            place.fill_limit = (place.fill_limit + FILL_LIMIT_INCREASE).min(FILL_LIMIT_MAX);
+        let has_preempted =
+            same_incarnation.is_some_and(|last| report.preemptions_total > last.preemptions_total);
+        let memory_use = tokens_as_f64(report.kv_used_tokens) / state.capacity_tokens;
+        if has_preempted {
+            state.fill_limit = (state.fill_limit * FILL_LIMIT_DECREASE).max(FILL_LIMIT_MIN);
+        } else if has_queue && memory_use < FILL_LIMIT_GROWTH_MAX_USE {
+            state.fill_limit = (state.fill_limit + FILL_LIMIT_INCREASE).min(FILL_LIMIT_MAX);
         }
-        place.report = Some(report.clone());
+        state.report = Some(report.clone());
     }
 
-    /// Takes an endpoint's cache event: it holds this prefix.
-    pub fn cached(&mut self, endpoint: &str, prefix: u64) {
-        let Some(place) = self.places.get_mut(endpoint) else {
+    /// Records that the prefix cache of an endpoint holds a prefix.
+    pub fn record_cached_prefix(&mut self, endpoint: &str, prefix: u64) {
+        let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if place.prefixes.contains(&prefix) {
+        if state.prefixes.contains(&prefix) {
             return;
         }
-        if place.prefixes.len() == PREFIXES_KEPT {
-            place.prefixes.pop_front();
+        if state.prefixes.len() == MAX_TRACKED_PREFIXES {
+            state.prefixes.pop_front();
         }
-        place.prefixes.push_back(prefix);
+        state.prefixes.push_back(prefix);
     }
 
-    /// Decides on a request.
+    /// Grants, queues or refuses a request.
     pub fn reserve(
         &mut self,
         request: &ReserveRequest,
@@ -282,39 +290,41 @@
             return Decision::Granted(grant(id, &stream.endpoint));
         }
         if self
-            .waiting
+            .queue
             .iter()
-            .any(|waiting| waiting.request.reservation_id == id)
+            .any(|queued| queued.request.reservation_id == id)
         {
             return Decision::Queued;
         }
         if !request
             .candidates
             .iter()
-            .any(|name| self.places.contains_key(name))
+            .any(|name| self.endpoints.contains_key(name))
         {
             return Decision::Refused(Error::new(
                 ErrorKind::NoEndpoint,
                 "no allowed endpoint is live in this group",
             ));
         }
-        let blocked = self.blocked_for(request);
-        if let Some(grant) = self.place(request, now, random, &blocked) {
+        let blocked = self.endpoints_awaited_before(request);
+        if let Some(grant) = self.try_grant(request, now, random, &blocked) {
             return Decision::Granted(grant);
         }
         self.enqueue(request, now)
     }
 
-    /// Endpoints that requests ranked before this one wait for.
-    fn blocked_for(&self, request: &ReserveRequest) -> HashSet<String> {
-        self.waiting
+    /// Returns the endpoints for which requests of at least the same priority are already queued,
+    /// so that a new request does not overtake them.
+    fn endpoints_awaited_before(&self, request: &ReserveRequest) -> HashSet<String> {
+        self.queue
             .iter()
-            .filter(|waiting| waiting.request.priority >= request.priority)
-            .flat_map(|waiting| waiting.request.candidates.iter().cloned())
+            .filter(|queued| queued.request.priority >= request.priority)
+            .flat_map(|queued| queued.request.candidates.iter().cloned())
             .collect()
     }
 
-    fn place(
+    /// Reserves capacity on an endpoint that is not in `blocked`, if the policy finds one.
+    fn try_grant(
         &mut self,
         request: &ReserveRequest,
         now: Duration,
@@ -322,7 +332,7 @@
         blocked: &HashSet<String>,
     ) -> Option<Grant> {
         let size = self.size_of(request, 0);
-        let demand = Demand {
+        let generation = GenerationSize {
             prompt_tokens: size.prompt_tokens,
             max_tokens: size.max_tokens,
             residual: size.residual,
@@ -334,18 +344,18 @@
             .filter(|name| !blocked.contains(*name))
             .filter_map(|name| self.candidate(name, request))
             .collect();
-        let chosen = self.policy.choose(&candidates, &demand, random)?;
+        let chosen = self.policy.choose(&candidates, &generation, random)?;
         let endpoint = candidates[chosen].name.to_owned();
-        let place = self.places.get_mut(&endpoint)?;
-        place.in_flight.add(&size);
-        self.cached(&endpoint, request.prefix);
+        let state = self.endpoints.get_mut(&endpoint)?;
+        state.in_flight.add(&size);
+        self.record_cached_prefix(&endpoint, request.prefix);
         self.usage
             .charge(&request.account, request.share, request.prompt_tokens);
         let granted = grant(request.reservation_id, &endpoint);
         let stream = Stream {
             request: request.clone(),
             endpoint,
-            made_tokens: 0,
+            generated_tokens: 0,
             generation: None,
             granted_at: now,
             last_report: now,
@@ -355,74 +365,76 @@
     }
 
     fn candidate<'a>(&'a self, name: &str, request: &ReserveRequest) -> Option<Candidate<'a>> {
-        let (name, place) = self.places.get_key_value(name)?;
-        let cached = place.prefixes.contains(&request.prefix);
+        let (name, state) = self.endpoints.get_key_value(name)?;
+        let is_cached = state.prefixes.contains(&request.prefix);
         Some(Candidate {
             name,
-            capacity_tokens: place.capacity_tokens,
-            report: place.report.as_ref(),
-            in_flight: place.in_flight,
-            fill_limit: place.fill_limit,
-            cached_prefix_tokens: if cached { request.prompt_tokens } else { 0 },
+            capacity_tokens: state.capacity_tokens,
+            report: state.report.as_ref(),
+            in_flight: state.in_flight,
+            fill_limit: state.fill_limit,
+            cached_prefix_tokens: if is_cached { request.prompt_tokens } else { 0 },
         })
     }
 
+    /// Queues a request, or refuses it if it must not wait or its expected wait is too long.
     fn enqueue(&mut self, request: &ReserveRequest, now: Duration) -> Decision {
         let ahead = self.count_ahead(request);
-        let wait = self.pace.expected_wait(ahead);
+        let wait = self.wait_estimator.expected_wait(ahead);
         if request.deadline.is_zero() {
-            return Decision::Refused(crowded(wait));
+            return Decision::Refused(overloaded_error(wait));
         }
         if wait > request.deadline {
-            return Decision::Refused(too_late(wait));
+            return Decision::Refused(deadline_error(wait));
         }
         if wait > self.limits.queue_wait || ahead >= self.limits.queue_length {
-            return Decision::Refused(crowded(wait));
+            return Decision::Refused(overloaded_error(wait));
         }
-        self.waiting.push(Waiting {
+        self.queue.push(QueuedRequest {
             request: request.clone(),
             deadline: now + request.deadline.min(self.limits.queue_wait),
-            arrived: now,
+            queued_at: now,
         });
         Decision::Queued
     }
 
+    /// Counts the queued requests that rank before a new request.
     fn count_ahead(&self, request: &ReserveRequest) -> usize {
-        let own_usage = self.usage.of(&request.account);
-        self.waiting
+        let own_usage = self.usage.weighted_tokens(&request.account);
+        self.queue
             .iter()
-            .filter(|waiting| {
-                let other = &waiting.request;
+            .filter(|queued| {
+                let other = &queued.request;
                 other.priority > request.priority
                     || (other.priority == request.priority
-                        && self.usage.of(&other.account) <= own_usage)
+                        && self.usage.weighted_tokens(&other.account) <= own_usage)
             })
             .count()
     }
 
-    /// Takes a stream's progress from its entry.
-    pub fn progress(
+    /// Records the progress of a stream as reported by its entry.
+    pub fn record_progress(
         &mut self,
         reservation_id: Uuid,
-        made_tokens: u32,
+        generated_tokens: u32,
         generation: Option<&str>,
         now: Duration,
     ) {
         let Some(stream) = self.streams.get_mut(&reservation_id) else {
             return;
         };
-        let grown = made_tokens.saturating_sub(stream.made_tokens);
-        stream.made_tokens = stream.made_tokens.max(made_tokens);
+        let new_tokens = generated_tokens.saturating_sub(stream.generated_tokens);
+        stream.generated_tokens = stream.generated_tokens.max(generated_tokens);
         stream.last_report = now;
         if stream.generation.is_none() {
             stream.generation = generation.map(str::to_owned);
         }
         self.usage
-            .charge(&stream.request.account, stream.request.share, grown);
+            .charge(&stream.request.account, stream.request.share, new_tokens);
     }
 
-    /// Counts the length of a generation that reached its end.
-    pub fn finished(&mut self, reservation_id: Uuid, length_tokens: u32) {
+    /// Adds the output length of a finished generation to the length estimates.
+    pub fn record_output_length(&mut self, reservation_id: Uuid, length_tokens: u32) {
         if let Some(stream) = self.streams.get(&reservation_id) {
             let request = &stream.request;
             self.estimates
@@ -430,136 +442,146 @@
         }
     }
 
-    /// Ends a reservation.
+    /// Ends a reservation or removes the queued request with its id.
     pub fn release(&mut self, reservation_id: Uuid) {
         self.streams.remove(&reservation_id);
-        self.waiting
-            .retain(|waiting| waiting.request.reservation_id != reservation_id);
+        self.queue
+            .retain(|queued| queued.request.reservation_id != reservation_id);
     }
 
-    /// Re-estimates every stream as of `now`. To be called after progress and release, before [`Self::settle`].
-    pub fn recount(&mut self, now: Duration) {
-        for place in self.places.values_mut() {
-            place.in_flight = InFlight::default();
+    /// Re-estimates every stream as of `now`.
+    ///
+    /// Call this after [`Self::record_progress`] and [`Self::release`], before
+    /// [`Self::process_queue`].
+    pub fn refresh_in_flight(&mut self, now: Duration) {
+        for state in self.endpoints.values_mut() {
+            state.in_flight = InFlight::default();
         }
         for stream in self.streams.values() {
-            let size = self.size_of(&stream.request, stream.made_by(now));
-            if let Some(place) = self.places.get_mut(&stream.endpoint) {
-                place.in_flight.add(&size);
+            let size = self.size_of(&stream.request, stream.estimated_tokens_at(now));
+            if let Some(state) = self.endpoints.get_mut(&stream.endpoint) {
+                state.in_flight.add(&size);
             }
         }
     }
 
-    fn size_of(&self, request: &ReserveRequest, made_tokens: u32) -> StreamSize {
+    fn size_of(&self, request: &ReserveRequest, generated_tokens: u32) -> StreamSize {
         let (model, account) = (&request.model, &request.account);
         let max_tokens = request.max_tokens;
         StreamSize {
             prompt_tokens: request.prompt_tokens,
-            made_tokens,
+            generated_tokens,
             max_tokens,
             residual: self
                 .estimates
-                .residual(model, account, made_tokens, max_tokens),
+                .residual(model, account, generated_tokens, max_tokens),
             survival: self
                 .estimates
-                .survival(model, account, made_tokens, max_tokens),
+                .survival(model, account, generated_tokens, max_tokens),
         }
     }
 
-    /// Decides on waiting requests: by priority, then the account that used least for its share, then deadline.
-    pub fn settle(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<Settled> {
+    /// Grants queued requests for which there is capacity, and refuses those whose wait is over.
+    ///
+    /// Requests are ranked by priority, then by the recent usage of the account relative to its
+    /// share (least first), then by deadline. A request does not overtake one that ranks before it
+    /// and waits for the same endpoint.
+    pub fn process_queue(&mut self, now: Duration, random: &mut dyn Rng) -> Vec<QueueDecision> {
         self.usage.decay(now);
-        let mut settled = Vec::new();
+        let mut decisions = Vec::new();
         let mut blocked = HashSet::new();
-        let mut still_waiting = Vec::new();
-        for waiting in self.take_ranked() {
-            if let Some(grant) = self.place(&waiting.request, now, random, &blocked) {
-                self.pace.count(now);
-                settled.push(Settled {
-                    reservation_id: waiting.request.reservation_id,
+        let mut still_queued = Vec::new();
+        for queued in self.drain_ranked_queue() {
+            if let Some(grant) = self.try_grant(&queued.request, now, random, &blocked) {
+                self.wait_estimator.record_grant(now);
+                decisions.push(QueueDecision {
+                    reservation_id: queued.request.reservation_id,
                     result: Ok(grant),
                 });
                 continue;
             }
-            if now >= waiting.deadline || still_waiting.len() >= self.limits.queue_length {
-                let wait = self.pace.expected_wait(still_waiting.len());
-                settled.push(Settled {
-                    reservation_id: waiting.request.reservation_id,
-                    result: Err(crowded(wait)),
+            if now >= queued.deadline || still_queued.len() >= self.limits.queue_length {
+                let wait = self.wait_estimator.expected_wait(still_queued.len());
+                decisions.push(QueueDecision {
+                    reservation_id: queued.request.reservation_id,
+                    result: Err(overloaded_error(wait)),
                 });
                 continue;
             }
-            blocked.extend(waiting.request.candidates.iter().cloned());
-            still_waiting.push(waiting);
+            blocked.extend(queued.request.candidates.iter().cloned());
+            still_queued.push(queued);
         }
-        self.waiting = still_waiting;
-        settled
+        self.queue = still_queued;
+        decisions
     }
 
-    fn take_ranked(&mut self) -> Vec<Waiting> {
-        let mut ranked = std::mem::take(&mut self.waiting);
+    /// Empties the queue and returns the requests in the order in which they are considered.
+    fn drain_ranked_queue(&mut self) -> Vec<QueuedRequest> {
+        let mut ranked = std::mem::take(&mut self.queue);
         ranked.sort_by(|left, right| {
-            let usage = |waiting: &Waiting| self.usage.of(&waiting.request.account);
+            let usage =
+                |queued: &QueuedRequest| self.usage.weighted_tokens(&queued.request.account);
             right
                 .request
                 .priority
                 .cmp(&left.request.priority)
                 .then(usage(left).total_cmp(&usage(right)))
                 .then(left.deadline.cmp(&right.deadline))
-                .then(left.arrived.cmp(&right.arrived))
+                .then(left.queued_at.cmp(&right.queued_at))
         });
         ranked
     }
 
-    /// Whether requests wait.
+    /// Returns whether any request is queued.
     #[must_use]
     pub fn has_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.queue.is_empty()
     }
 
-    /// Drops reservations whose entry went silent, and endpoints that are not in the group any more.
-    pub fn expire(&mut self, now: Duration) -> Vec<Lapsed> {
+    /// Removes and returns the reservations whose entry has not reported progress within
+    /// [`GroupLimits::reservation_ttl`].
+    pub fn expire_reservations(&mut self, now: Duration) -> Vec<ExpiredReservation> {
         let ttl = self.limits.reservation_ttl;
-        let silent: Vec<Uuid> = self
+        let expired: Vec<Uuid> = self
             .streams
             .iter()
             .filter(|(_, stream)| now.saturating_sub(stream.last_report) > ttl)
             .map(|(id, _)| *id)
             .collect();
-        silent
+        expired
             .iter()
             .filter_map(|id| self.streams.remove(id))
-            .map(|stream| Lapsed {
+            .map(|stream| ExpiredReservation {
                 endpoint: stream.endpoint,
                 generation: stream.generation,
             })
             .collect()
     }
 
-    /// Takes an endpoint out of the group: it gets no new work. Streams on it go on.
+    /// Removes an endpoint from the group. It gets no new work; its streams continue.
     pub fn remove_endpoint(&mut self, name: &str) {
-        self.places.remove(name);
+        self.endpoints.remove(name);
     }
 
-    /// Names of the endpoints in the group.
+    /// Returns the names of the endpoints in the group.
     pub fn endpoints(&self) -> impl Iterator<Item = &str> {
-        self.places.keys().map(String::as_str)
+        self.endpoints.keys().map(String::as_str)
     }
 
-    /// Counts for the dump.
+    /// Returns the counters of the group for the state dump.
     #[must_use]
     pub fn summary(&self) -> GroupSummary {
-        let places = self.places.iter().map(|(name, place)| PlaceSummary {
+        let endpoints = self.endpoints.iter().map(|(name, state)| EndpointSummary {
             endpoint: name.clone(),
-            streams: place.in_flight.streams,
-            held_tokens: place.in_flight.held_tokens,
-            predicted_peak_tokens: place.in_flight.predicted_peak_tokens(1.0),
-            fill_limit: place.fill_limit,
+            streams: state.in_flight.streams,
+            held_tokens: state.in_flight.held_tokens,
+            predicted_peak_tokens: state.in_flight.predicted_peak_tokens(1.0),
+            fill_limit: state.fill_limit,
         });
         GroupSummary {
             streams: self.streams.len(),
-            waiting: self.waiting.len(),
-            places: places.collect(),
+            waiting: self.queue.len(),
+            endpoints: endpoints.collect(),
         }
     }
 }
@@ -571,12 +593,14 @@
     }
 }
 
-fn too_late(wait: Duration) -> Error {
+/// Error for a request that cannot be granted before its deadline.
+fn deadline_error(wait: Duration) -> Error {
     let message = "all allowed endpoints are full until after the deadline";
     Error::new(ErrorKind::DeadlineExceeded, message).with_retry_after(wait)
 }
 
-fn crowded(wait: Duration) -> Error {
+/// Error for a request that cannot be queued or has waited too long.
+fn overloaded_error(wait: Duration) -> Error {
     let wait = wait.max(Duration::from_millis(200));
     Error::new(ErrorKind::Crowded, "all allowed endpoints are full").with_retry_after(wait)
 }
