--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -7,7 +7,7 @@
 use larkwick::kernel::clock::SystemClock;
 use larkwick::kernel::config::{Change, ChangeAction, ConfigFold, Publish, Record};
 use larkwick::kernel::group::{GroupLedger, GroupLimits, ReserveRequest};
-use larkwick::kernel::membership::{Incarnation, Listed, Members, PeerStatus};
+use larkwick::kernel::membership::{Incarnation, ListedPeer, Members, PeerStatus};
 use larkwick::kernel::object::{ClientAccount, Object};
 use larkwick::kernel::policy;
 use larkwick::kernel::rules::Catalog;
@@ -208,18 +208,18 @@
     for instances in [21_u32, 460, 2_300] {
         let before = resident_kib();
         let mut members = Members::default();
-        let list: Vec<Listed> = (0..instances)
-            .map(|index| Listed {
+        let list: Vec<ListedPeer> = (0..instances)
+            .map(|index| ListedPeer {
                 status: status(index, index % 21),
             })
             .collect();
         let now = Duration::from_secs(1);
-        let list_us = mean_us(5, |_| members.listed(&list, "instance-0", now));
+        let list_us = mean_us(5, |_| members.apply_list(&list, "instance-0", now));
         let memory = resident_kib() - before;
         let own = status(0, 0).incarnation;
         let beat_us = mean_us(100, |index| {
-            members.heard(status(index % instances, 0), now);
-            black_box(members.gossip(&own, "hall-0", "", now));
+            members.record_heartbeat(status(index % instances, 0), now);
+            black_box(members.gossip_for(&own, "hall-0", "", now));
         });
         let live_us = mean_us(100, |_| {
             black_box(members.live("hall-0", now).count());
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -8,7 +8,7 @@
 
 use super::member_loop::{beat_round, list_round};
 use super::node::{Node, Phase};
-use crate::kernel::membership::PEER_SILENT_AFTER;
+use crate::kernel::membership::PEER_HEARTBEAT_TIMEOUT;
 use crate::settings::ms;
 
 const CHECK_EVERY: Duration = Duration::from_millis(50);
@@ -101,7 +101,7 @@
     node.release_lease().await;
     list_round(&node).await;
     beat_round(&node);
-    let answers_run_out = ms(node.settings.times.entries_valid_ms) + PEER_SILENT_AFTER;
+    let answers_run_out = ms(node.settings.times.entries_valid_ms) + PEER_HEARTBEAT_TIMEOUT;
     tokio::time::sleep(answers_run_out).await;
     if !wait_idle(&node, ms(node.settings.times.drain_streams_ms)).await {
         node.work.enter(Phase::Moving);
--- a/src/daemon/member_loop.rs
+++ b/src/daemon/member_loop.rs
@@ -10,7 +10,7 @@
 use super::config_loop;
 use super::node::Node;
 use crate::kernel::gossip::Gossip;
-use crate::kernel::membership::{Incarnation, Listed, PeerStatus};
+use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::log_service::ListedInstance;
 use crate::peer::client::within;
 use crate::peer::convert::BadField;
@@ -28,7 +28,7 @@
         let mut members = node.members.lock();
         let recent = members.departures.recent(since);
         let departures = recent.map(wire::Incarnation::from).collect();
-        let gossip = members.gossip(&node.incarnation, &node.settings.hall, to, node.now());
+        let gossip = members.gossip_for(&node.incarnation, &node.settings.hall, to, node.now());
         (departures, gossip)
     };
     let beat = wire::Beat {
@@ -60,7 +60,7 @@
     let peer_address = status.peer_address.clone();
     {
         let mut members = node.members.lock();
-        members.take(&node.incarnation, status, &gossip, now);
+        members.receive_heartbeat(&node.incarnation, status, &gossip, now);
         for incarnation in &departed {
             if members.departures.record(incarnation, now) {
                 info!("departure learned from a peer", kv: { name = incarnation.name.as_str() });
@@ -104,7 +104,7 @@
 /// Sends heartbeats now.
 pub(crate) fn beat_round(node: &Arc<Node>) {
     let mut members = node.members.lock();
-    for name in members.to_tell(&node.incarnation, &node.settings.hall, node.now()) {
+    for name in members.heartbeat_targets(&node.incarnation, &node.settings.hall, node.now()) {
         if let Some(peer) = members.get(&name) {
             let address = peer.status.peer_address.clone();
             tokio::spawn(beat(node.clone(), name, address));
@@ -133,14 +133,14 @@
     for listed in list.iter().filter(|listed| listed.status.is_none()) {
         node.endpoints.set_listed(&listed.incarnation);
     }
-    let instances: Vec<Listed> = list
+    let instances: Vec<ListedPeer> = list
         .into_iter()
-        .filter_map(|listed| listed.status.map(|status| Listed { status }))
+        .filter_map(|listed| listed.status.map(|status| ListedPeer { status }))
         .collect();
     let now = node.now();
     let own_name = node.incarnation.name.as_str();
     let mut members = node.members.lock();
-    members.listed(&instances, own_name, now);
+    members.apply_list(&instances, own_name, now);
     members.departures.expire(now);
 }
 
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -243,6 +243,6 @@
         }
         let members = self.members.lock();
         members.all().count() >= SERVES_ON_PEERS
-            && members.isolated(&self.incarnation.name, &self.settings.hall, now)
+            && members.is_isolated(&self.incarnation.name, &self.settings.hall, now)
     }
 }
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -22,7 +22,7 @@
 use crate::daemon::app::metrics_handle;
 use crate::kernel::backoff::Backoff;
 use crate::kernel::clock::{Clock, SystemClock, millis};
-use crate::kernel::membership::Evidence;
+use crate::kernel::membership::LivenessCounts;
 use crate::peer::generated::site_server::SiteServer;
 use crate::settings::Settings;
 use crate::standin::server::{Server, rocket_at, start, stop_all};
@@ -289,9 +289,9 @@
 fn tell_evidence(gateway: &Gateway) {
     let evidence = {
         let members = gateway.members.lock();
-        members.evidence(MEMBER_RING, gateway.now())
+        members.liveness_counts(MEMBER_RING, gateway.now())
     };
-    let Evidence {
+    let LivenessCounts {
         heard,
         unreported,
         reported,
--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_choice.rs
@@ -59,7 +59,7 @@
         return HashMap::new();
     }
     let members = gateway.members.lock();
-    let counted = members.counted(now);
+    let counted = members.recently_reachable(now);
     let others: Vec<&str> = counted
         .map(|peer| peer.status.incarnation.name.as_str())
         .collect();
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -13,7 +13,7 @@
 use crate::kernel::backoff::Backoff;
 use crate::kernel::content::ContentId;
 use crate::kernel::fleet::{FleetChange, ListNews};
-use crate::kernel::membership::{Incarnation, Listed, PeerStatus};
+use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::kernel::position::Position;
 
 /// First pause after a failed call.
@@ -290,7 +290,7 @@
     gateway
         .members
         .lock()
-        .listed(&[Listed { status }], own_name, now);
+        .apply_list(&[ListedPeer { status }], own_name, now);
     gateway.take_member_entry(entry);
 }
 
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -65,7 +65,7 @@
 fn told_to(gateway: &Gateway, to: &str, all: wire::Beat) -> wire::Beat {
     let gossip = {
         let mut members = gateway.members.lock();
-        members.gossip(&gateway.incarnation, MEMBER_RING, to, gateway.now())
+        members.gossip_for(&gateway.incarnation, MEMBER_RING, to, gateway.now())
     };
     wire::Beat {
         gossip: Some(gossip.into()),
@@ -96,7 +96,7 @@
     let (was_live, lives, has_departed) = {
         let mut members = gateway.members.lock();
         let was_live = members.is_live(&name, MEMBER_RING, now);
-        members.take(&gateway.incarnation, status, &gossip, now);
+        members.receive_heartbeat(&gateway.incarnation, status, &gossip, now);
         let mut has_departed = false;
         for gone in &departed {
             has_departed |= members.departures.record(gone, now);
@@ -149,7 +149,7 @@
         });
         return told.collect();
     }
-    let names = members.to_tell(&gateway.incarnation, MEMBER_RING, now);
+    let names = members.heartbeat_targets(&gateway.incarnation, MEMBER_RING, now);
     let told = names.into_iter().filter_map(|name| {
         let address = members.get(&name)?.status.peer_address.clone();
         Some(Told { name, address })
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -335,7 +335,7 @@
 
     /// Instances that are there, as far as is known, this one included.
     pub(crate) fn instances(&self) -> usize {
-        1 + self.members.lock().counted(self.now()).count()
+        1 + self.members.lock().recently_reachable(self.now()).count()
     }
 
     /// Instances that share what is allowed to all of them together, this one included.
--- a/src/kernel/gossip.rs
+++ b/src/kernel/gossip.rs
@@ -1,277 +1,314 @@
-//! What instances of a large hall tell each other of silent ones, with their heartbeats.
+//! Gossip about unreachable members, exchanged with the heartbeats of a large hall.
 //!
-//! Each instance watches the next few peers on a ring that answer, past those that do not. A peer that does not answer is reported to all that the
-//! instance tells; whoever hears it objects. Where two report it and nobody objects it is found silent, and that is news for all. A member that was
-//! found silent and lives hears so with the answer to its next heartbeat, and says that it lives.
+//! Each instance monitors its next few answering successors on a hash ring and skips those that do
+//! not answer. It reports a peer that does not answer in all heartbeats it sends, and any instance
+//! that hears the peer refutes the report. If two instances report a peer and none refutes it, the
+//! peer is confirmed unreachable and the new state is spread to all. An unreachable member that is
+//! in fact live learns of its state from the reply to its next heartbeat and refutes it.
 //!
-//! An instance sends at most [`WATCHED_MAX`] + [`LOOKED_AT_MAX`] + [`DISTANT`] heartbeats in a round, and none names more than [`NEWS_MAX`] + 1 + 2 x
-//! [`WATCHED_MAX`] members, however many are silent; only the answer to who asks for all names all that are silent, once in
-//! [`WHOLE_ASKED_EVERY`].
+//! An instance sends at most [`MONITORED_PEERS_MAX`] + [`REPORTED_PROBES_MAX`] + [`DISTANT_PEERS`]
+//! heartbeats per round. Each one names at most [`HEARTBEAT_UPDATES_MAX`] + 1 + 2 x
+//! [`MONITORED_PEERS_MAX`] members, however many are unreachable. Only the reply to a full sync
+//! request, sent once every [`FULL_SYNC_INTERVAL`], names all unreachable members.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+#[cfg(doc)]
+use super::member_states::HEARTBEAT_UPDATES_MAX;
+use super::member_states::MemberState;
 use super::membership::{
-    Incarnation, Members, PEER_SILENT_AFTER, Peer, PeerStatus, heard_within, rendezvous_weight,
-    ring_place,
+    Incarnation, Members, PEER_HEARTBEAT_TIMEOUT, Peer, PeerStatus, heard_within,
+    rendezvous_weight, ring_position,
 };
-#[cfg(doc)]
-use super::standings::NEWS_MAX;
-use super::standings::Standing;
-use super::watch::LOOKED_AT_MAX;
+use super::peer_monitor::REPORTED_PROBES_MAX;
 
-/// Peers that answer which each instance of a larger hall watches.
-pub const WATCHED: usize = 4;
-/// Most peers that it watches, with those among them that do not answer.
-pub const WATCHED_MAX: usize = 16;
-/// Peers told in each round besides those watched; at a small site all are told.
-pub const DISTANT: usize = 2;
-/// How long these stay the same: each one is a connection, and every instance would in time hold one to every other.
-pub const DISTANT_KEPT: Duration = Duration::from_secs(20);
-/// A watched peer that was not heard for this long is watched past: two heartbeats were missed.
-const DOUBTED_AFTER: Duration = Duration::from_secs(1);
-/// A watched peer that was not heard for this long is reported: four heartbeats were missed.
-const SUSPECT_AFTER: Duration = Duration::from_secs(2);
-/// An instance asks a peer this often for all that were found silent: news may have passed it by, and what nobody tells any more it would
-/// never learn.
-pub const WHOLE_ASKED_EVERY: Duration = Duration::from_secs(5);
-/// The next one is asked after this long where one does not answer.
-const WHOLE_WAITED_FOR: Duration = Duration::from_secs(1);
+/// Number of answering peers that each instance of a larger hall monitors.
+pub const MONITORED_PEERS: usize = 4;
+/// Maximum number of monitored peers, including those that do not answer.
+pub const MONITORED_PEERS_MAX: usize = 16;
+/// Number of peers that receive a heartbeat in each round besides the monitored ones. At a small
+/// site every peer receives one.
+pub const DISTANT_PEERS: usize = 2;
+/// Time after which an instance selects other distant peers. Each distant peer needs a connection,
+/// so frequent changes would in time connect every instance to every other.
+pub const DISTANT_PEERS_ROTATION: Duration = Duration::from_secs(20);
+/// A monitored peer that was not heard for this long no longer counts as answering, and the
+/// instance monitors one more successor: two heartbeats were missed.
+const SKIP_UNHEARD_AFTER: Duration = Duration::from_secs(1);
+/// A monitored peer that was not heard for this long is reported: four heartbeats were missed.
+const REPORT_UNHEARD_AFTER: Duration = Duration::from_secs(2);
+/// Interval at which an instance requests the full set of unreachable members from a peer. It may
+/// have missed an update that is no longer being sent and would otherwise never learn of it.
+pub const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which an unanswered full sync request is sent to the next peer.
+const FULL_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an instance tells a peer of others, beside its own status. Members are named by [`Incarnation::short_id`].
+/// Gossip about other members that accompanies the sender's own status in a heartbeat. Members are
+/// named by [`Incarnation::short_id`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Gossip {
-    /// Peers that the sender watches and that do not answer it.
+    /// Peers that the sender monitors and that do not answer it.
     pub suspected: Vec<u64>,
     /// Peers that others report and that the sender hears.
-    pub heard: Vec<u64>,
-    /// Who was found silent, or lives after all: news, or all that are silent.
-    pub standings: Vec<Standing>,
-    /// Whether the sender asks for all that were found silent.
-    pub asks_whole: bool,
-    /// Whether these are all that were found silent.
-    pub is_whole: bool,
+    pub reachable: Vec<u64>,
+    /// States of members: pending updates, or all unreachable members in a full sync.
+    pub states: Vec<MemberState>,
+    /// Whether the sender requests the full set of unreachable members.
+    pub requests_full_sync: bool,
+    /// Whether `states` is the full set of unreachable members.
+    pub is_full_sync: bool,
 }
 
 impl Gossip {
-    /// Members that it names: what a heartbeat costs beside its own status.
+    /// Returns the number of members named, which determines the size of a heartbeat beyond the
+    /// sender's own status.
     #[must_use]
     pub fn entries(&self) -> usize {
-        self.suspected.len() + self.heard.len() + self.standings.len()
+        self.suspected.len() + self.reachable.len() + self.states.len()
     }
 }
 
-/// Who asked for all that were found silent, and when this instance did.
+/// Full sync requests received from peers and sent by this instance.
 #[derive(Debug, Clone, Default)]
-pub(super) struct WholeAsked {
-    /// Names of peers that asked.
-    owed_to: BTreeSet<String>,
-    /// When this instance last asked.
-    asked_at: Option<Duration>,
-    /// When it was last told.
-    told_at: Option<Duration>,
+pub(super) struct FullSync {
+    /// Names of the peers that requested a full sync.
+    requested_by: BTreeSet<String>,
+    /// Time of this instance's last request.
+    requested_at: Option<Duration>,
+    /// Time at which the last full sync was received.
+    received_at: Option<Duration>,
 }
 
-impl WholeAsked {
-    /// Whether to ask now; then it counts as asked.
-    fn ask(&mut self, now: Duration) -> bool {
-        let passed = |since: Option<Duration>, time| {
+impl FullSync {
+    /// Returns whether to request a full sync now, and if so records the request.
+    fn request_if_due(&mut self, now: Duration) -> bool {
+        let has_elapsed = |since: Option<Duration>, time| {
             since.is_none_or(|since| now.saturating_sub(since) >= time)
         };
-        let asks =
-            passed(self.told_at, WHOLE_ASKED_EVERY) && passed(self.asked_at, WHOLE_WAITED_FOR);
-        if asks {
-            self.asked_at = Some(now);
+        let is_due = has_elapsed(self.received_at, FULL_SYNC_INTERVAL)
+            && has_elapsed(self.requested_at, FULL_SYNC_TIMEOUT);
+        if is_due {
+            self.requested_at = Some(now);
         }
-        asks
+        is_due
     }
 
-    /// What was told before is not enough any more.
-    pub(super) fn ask_anew(&mut self) {
-        self.told_at = None;
+    /// Marks the last full sync as outdated, so that a new one is requested.
+    pub(super) fn expire(&mut self) {
+        self.received_at = None;
     }
 }
 
 impl Members {
-    /// Names of the peers to which this instance sends a heartbeat in a round: all of a small site, else the watched ones and a few distant
-    /// ones of its hall.
-    pub fn to_tell(&mut self, own: &Incarnation, own_hall: &str, now: Duration) -> Vec<String> {
+    /// Returns the names of the peers to which this instance sends a heartbeat in this round: all
+    /// peers at a small site, else the monitored peers, reported peers to probe and a few distant
+    /// peers of its hall.
+    pub fn heartbeat_targets(
+        &mut self,
+        own: &Incarnation,
+        own_hall: &str,
+        now: Duration,
+    ) -> Vec<String> {
         own_hall.clone_into(&mut self.own_hall);
         if self.is_small_site() {
             return self.all().map(name_of).collect();
         }
         let before = self.round_at.replace(now);
-        if before.is_none_or(|before| now.saturating_sub(before) >= SUSPECT_AFTER) {
-            self.watch.restart();
+        if before.is_none_or(|before| now.saturating_sub(before) >= REPORT_UNHEARD_AFTER) {
+            self.monitor.reset();
         }
-        self.watch.expire(now);
-        let mut told: Vec<&Peer> = self.window(&own.name, now).collect();
-        let to_look_at = self.watch.to_look_at(own.short_id(), now);
-        let to_look_at = to_look_at.filter_map(|id| self.by_id(id));
-        let to_look_at = to_look_at.filter(|peer| !self.is_found_silent(peer));
-        told.extend(to_look_at.take(LOOKED_AT_MAX));
-        let watched: Vec<u64> = told.iter().map(|peer| id_of(peer)).collect();
-        told.extend(self.distant(&own.name, now));
+        self.monitor.expire(now);
+        let mut targets: Vec<&Peer> = self.monitored_window(&own.name, now).collect();
+        let to_probe = self.monitor.peers_to_probe(own.short_id(), now);
+        let to_probe = to_probe.filter_map(|id| self.get_by_id(id));
+        let to_probe = to_probe.filter(|peer| !self.is_unreachable(peer));
+        targets.extend(to_probe.take(REPORTED_PROBES_MAX));
+        let monitored: Vec<u64> = targets.iter().map(|peer| id_of(peer)).collect();
+        targets.extend(self.distant_peers(&own.name, now));
         let mut seen = BTreeSet::new();
-        let each_once = told.into_iter().filter(|peer| seen.insert(id_of(peer)));
-        let told = each_once.map(name_of).collect();
-        self.watch.set(watched, now);
-        told
+        let unique = targets.into_iter().filter(|peer| seen.insert(id_of(peer)));
+        let targets = unique.map(name_of).collect();
+        self.monitor.set_monitored(monitored, now);
+        targets
     }
 
-    /// The next peers on the ring, up to the fourth that answers. Those that were found silent are left out.
-    pub(super) fn window(&self, own_name: &str, now: Duration) -> impl Iterator<Item = &Peer> {
+    /// Returns the successors on the ring up to the fourth that answers, without those confirmed
+    /// unreachable.
+    pub(super) fn monitored_window(
+        &self,
+        own_name: &str,
+        now: Duration,
+    ) -> impl Iterator<Item = &Peer> {
         let mut answering = 0;
-        let next = self.on_ring_from(ring_place(own_name).wrapping_add(1));
-        let next = next.filter(|peer| !self.is_found_silent(peer));
+        let next = self.ring_peers_from(ring_position(own_name).wrapping_add(1));
+        let next = next.filter(|peer| !self.is_unreachable(peer));
         let window = next.take_while(move |peer| {
-            let is_full = answering == WATCHED;
-            answering += usize::from(self.unheard_for(peer, now) < DOUBTED_AFTER);
+            let is_full = answering == MONITORED_PEERS;
+            answering += usize::from(self.unheard_for(peer, now) < SKIP_UNHEARD_AFTER);
             !is_full
         });
-        window.take(WATCHED_MAX)
+        window.take(MONITORED_PEERS_MAX)
     }
 
-    /// How long a peer has not answered: counted from when it was watched first, since before nobody asked it.
+    /// Returns the time for which a peer has not answered. It is measured from the start of
+    /// monitoring at the earliest, since the peer was not probed before.
     fn unheard_for(&self, peer: &Peer, now: Duration) -> Duration {
-        let watched_since = self.watch.since(id_of(peer)).unwrap_or(now);
-        let since = peer.last_heard.unwrap_or_default().max(watched_since);
+        let monitored_since = self.monitor.monitored_since(id_of(peer)).unwrap_or(now);
+        let since = peer.last_heard.unwrap_or_default().max(monitored_since);
         now.saturating_sub(since)
     }
 
-    /// A few peers of the hall that an instance tells besides those it watches, so that news crosses a large ring in a few rounds: one that is not
-    /// silent, and any one, so that parts of a hall that were cut from each other meet again. They stay the same for some time: with new ones in
-    /// each round, every instance in time holds a connection to every other.
-    fn distant(&self, own_name: &str, now: Duration) -> impl Iterator<Item = &Peer> {
-        let turn = now.as_secs() / DISTANT_KEPT.as_secs();
+    /// Returns a few distant peers of the hall that receive heartbeats besides the monitored ones,
+    /// so that updates cross a large ring in a few rounds. One of them is not known to be
+    /// unreachable; the other may be any peer, so that the parts of a hall reconnect after a
+    /// network partition. The selection stays the same for [`DISTANT_PEERS_ROTATION`]: changing it
+    /// in each round would in time connect every instance to every other.
+    fn distant_peers(&self, own_name: &str, now: Duration) -> impl Iterator<Item = &Peer> {
+        let turn = now.as_secs() / DISTANT_PEERS_ROTATION.as_secs();
         let from = |key: &str| rendezvous_weight(&format!("{own_name}/{turn}"), key);
-        let mut answering = self.on_ring_from(from("answering"));
-        let answering = answering.find(|peer| !self.is_found_silent(peer));
-        let any = self.on_ring_from(from("any")).next();
+        let mut answering = self.ring_peers_from(from("answering"));
+        let answering = answering.find(|peer| !self.is_unreachable(peer));
+        let any = self.ring_peers_from(from("any")).next();
         answering.into_iter().chain(any)
     }
 
-    /// What this instance tells a peer of others.
-    pub fn gossip(&mut self, own: &Incarnation, own_hall: &str, to: &str, now: Duration) -> Gossip {
+    /// Returns the gossip to send to a peer, with its states of other members.
+    pub fn gossip_for(
+        &mut self,
+        own: &Incarnation,
+        own_hall: &str,
+        to: &str,
+        now: Duration,
+    ) -> Gossip {
         own_hall.clone_into(&mut self.own_hall);
         if self.is_small_site() {
             return Gossip::default();
         }
         let own_id = own.short_id();
-        self.live_after_all(own_id, now);
-        let suspected = self.suspect(own_id, now);
-        self.find_silent(own_id, now);
-        let is_whole = self.whole.owed_to.remove(to);
-        let mut standings = if is_whole {
-            self.standings.silent().collect()
+        self.refute_own_state(own_id, now);
+        let suspected = self.report_suspects(own_id, now);
+        self.confirm_unreachable(own_id, now);
+        let is_full_sync = self.full_sync.requested_by.remove(to);
+        let mut states = if is_full_sync {
+            self.states.unreachable().collect()
         } else {
             let members = self.all().count();
-            self.standings.news(members)
+            self.states.next_updates(members)
         };
-        let receiver = self.get(to).map(|peer| self.standings.get(id_of(peer)));
-        standings
-            .extend(receiver.filter(|standing| standing.silent && !standings.contains(standing)));
+        let receiver = self.get(to).map(|peer| self.states.get(id_of(peer)));
+        states.extend(receiver.filter(|state| state.unreachable && !states.contains(state)));
         Gossip {
-            heard: self.heard_though_reported(now),
+            reachable: self.reachable_suspects(now),
             suspected: suspected
                 .into_iter()
-                .filter(|peer| !self.standings.is_silent(*peer))
+                .filter(|peer| !self.states.is_unreachable(*peer))
                 .collect(),
-            standings,
-            asks_whole: self.whole.ask(now),
-            is_whole,
+            states,
+            requests_full_sync: self.full_sync.request_if_due(now),
+            is_full_sync,
         }
     }
 
-    /// Says that this instance lives where it was found silent. It was out of touch, so that what it found out of others does not count.
-    fn live_after_all(&mut self, own_id: u64, now: Duration) {
-        if self.standings.is_silent(own_id) {
-            self.standings.lives_after_all(own_id, now);
-            self.standings.forget_silent();
-            self.whole.ask_anew();
+    /// Refutes that this instance is unreachable, if others consider it so. It was cut off, so the
+    /// states that it determined for others are discarded.
+    fn refute_own_state(&mut self, own_id: u64, now: Duration) {
+        if self.states.is_unreachable(own_id) {
+            self.states.refute(own_id, now);
+            self.states.clear_unreachable();
+            self.full_sync.expire();
         }
     }
 
-    /// Reports the watched peers that do not answer.
-    fn suspect(&mut self, own_id: u64, now: Duration) -> Vec<u64> {
-        let watched = self.watch.watched();
-        let watched = watched.filter_map(|id| self.by_id(id));
-        let silent = watched.filter(|peer| self.unheard_for(peer, now) >= SUSPECT_AFTER);
-        let silent: Vec<u64> = silent.map(id_of).take(WATCHED_MAX).collect();
-        for peer in &silent {
-            self.watch.report(*peer, own_id, now);
+    /// Reports the monitored peers that do not answer.
+    fn report_suspects(&mut self, own_id: u64, now: Duration) -> Vec<u64> {
+        let monitored = self.monitor.monitored();
+        let monitored = monitored.filter_map(|id| self.get_by_id(id));
+        let unanswered =
+            monitored.filter(|peer| self.unheard_for(peer, now) >= REPORT_UNHEARD_AFTER);
+        let unanswered: Vec<u64> = unanswered.map(id_of).take(MONITORED_PEERS_MAX).collect();
+        for peer in &unanswered {
+            self.monitor.report(*peer, own_id, now);
         }
-        silent
+        unanswered
     }
 
-    /// Finds those silent whom enough instances report.
-    fn find_silent(&mut self, own_id: u64, now: Duration) {
-        for peer in self.watch.reported() {
-            if self.is_silent_by_reports(peer, own_id, now) {
-                self.standings.found_silent(peer, now);
+    /// Marks the peers that are reported by enough instances as unreachable.
+    fn confirm_unreachable(&mut self, own_id: u64, now: Duration) {
+        for peer in self.monitor.reported_peers() {
+            if self.is_confirmed_by_reports(peer, own_id, now) {
+                self.states.mark_unreachable(peer, now);
             }
         }
     }
 
-    /// Whether a peer that is not silent yet is to be found so. What this instance heard itself of late goes before what others report.
-    fn is_silent_by_reports(&self, peer: u64, own_id: u64, now: Duration) -> bool {
-        let known = self.by_id(peer);
-        let is_unheard = known.is_some_and(|peer| !heard_within(peer, SUSPECT_AFTER, now));
-        if !is_unheard || self.standings.is_silent(peer) {
+    /// Returns whether the reports confirm that a peer, not yet marked, is unreachable. A recent
+    /// heartbeat received by this instance overrides the reports of others.
+    fn is_confirmed_by_reports(&self, peer: u64, own_id: u64, now: Duration) -> bool {
+        let known = self.get_by_id(peer);
+        let is_unheard = known.is_some_and(|peer| !heard_within(peer, REPORT_UNHEARD_AFTER, now));
+        if !is_unheard || self.states.is_unreachable(peer) {
             return false;
         }
-        let hears = |peer: &Peer| heard_within(peer, PEER_SILENT_AFTER, now);
-        let hears_nobody = || !self.all().any(hears);
-        let counts = |reporter: u64| !self.standings.is_silent(reporter);
-        let watch = &self.watch;
-        watch.is_found_silent(peer, own_id, hears_nobody, counts, now)
+        let is_heard = |peer: &Peer| heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now);
+        let has_no_contact = || !self.all().any(is_heard);
+        let is_trusted = |reporter: u64| !self.states.is_unreachable(reporter);
+        let monitor = &self.monitor;
+        monitor.is_unreachable(peer, own_id, has_no_contact, is_trusted, now)
     }
 
-    /// Peers that others report and that answer here.
-    fn heard_though_reported(&self, now: Duration) -> Vec<u64> {
-        let reported = self.watch.reported().into_iter();
-        let reported = reported.filter_map(|id| self.by_id(id));
-        let heard = reported.filter(|peer| heard_within(peer, DOUBTED_AFTER, now));
-        heard.map(id_of).take(WATCHED_MAX).collect()
+    /// Returns the peers that others report and that this instance hears.
+    fn reachable_suspects(&self, now: Duration) -> Vec<u64> {
+        let reported = self.monitor.reported_peers().into_iter();
+        let reported = reported.filter_map(|id| self.get_by_id(id));
+        let heard = reported.filter(|peer| heard_within(peer, SKIP_UNHEARD_AFTER, now));
+        heard.map(id_of).take(MONITORED_PEERS_MAX).collect()
     }
 
-    /// Takes a heartbeat with what its sender tells of others. The word of a sender that was found silent counts for itself and for this instance
-    /// only: it was out of touch, and may have found all others silent.
-    pub fn take(&mut self, own: &Incarnation, status: PeerStatus, gossip: &Gossip, now: Duration) {
+    /// Processes a heartbeat and its gossip. From a sender marked as unreachable, only the states
+    /// of the sender and of this instance are merged: it was cut off and may have marked all others
+    /// as unreachable.
+    pub fn receive_heartbeat(
+        &mut self,
+        own: &Incarnation,
+        status: PeerStatus,
+        gossip: &Gossip,
+        now: Duration,
+    ) {
         if status.incarnation.name == own.name {
             return;
         }
         let (own_id, sender) = (own.short_id(), status.incarnation.short_id());
         let sender_name = status.incarnation.name.clone();
-        self.heard(status, now);
-        let (of_both, of_others): (Vec<Standing>, Vec<Standing>) = gossip
-            .standings
+        self.record_heartbeat(status, now);
+        let (of_either, of_others): (Vec<MemberState>, Vec<MemberState>) = gossip
+            .states
             .iter()
-            .partition(|standing| standing.member == sender || standing.member == own_id);
-        for standing in of_both {
-            self.standings.take(standing, now);
+            .partition(|state| state.member == sender || state.member == own_id);
+        for state in of_either {
+            self.states.merge(state, now);
         }
-        if gossip.asks_whole {
-            self.whole.owed_to.insert(sender_name);
+        if gossip.requests_full_sync {
+            self.full_sync.requested_by.insert(sender_name);
         }
-        if self.standings.is_silent(sender) {
+        if self.states.is_unreachable(sender) {
             return;
         }
-        for standing in of_others {
-            if self.by_id(standing.member).is_some() {
-                self.standings.take(standing, now);
+        for state in of_others {
+            if self.get_by_id(state.member).is_some() {
+                self.states.merge(state, now);
             }
         }
         for peer in &gossip.suspected {
-            if self.by_id(*peer).is_some() {
-                self.watch.report(*peer, sender, now);
+            if self.get_by_id(*peer).is_some() {
+                self.monitor.report(*peer, sender, now);
             }
         }
-        for peer in &gossip.heard {
-            self.watch.object(*peer, now);
+        for peer in &gossip.reachable {
+            self.monitor.refute(*peer, now);
         }
-        if gossip.is_whole {
-            self.whole.told_at = Some(now);
+        if gossip.is_full_sync {
+            self.full_sync.received_at = Some(now);
         }
     }
 }
--- a/src/kernel/membership.rs
+++ b/src/kernel/membership.rs
@@ -1,4 +1,5 @@
-//! Who is live: the platform's lagging list, heartbeats, and who was found silent.
+//! Membership: which instances are live, based on the platform's delayed list, heartbeats and the
+//! spread of unreachable states.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,126 +8,131 @@
 use uuid::Uuid;
 
 use super::departures::Departures;
-use super::gossip::WholeAsked;
-use super::standings::Standings;
-use super::watch::Watch;
+use super::gossip::FullSync;
+use super::member_states::MemberStates;
+use super::peer_monitor::PeerMonitor;
 
 /// One incarnation of an instance or endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Name of the instance or endpoint.
     pub name: String,
-    /// New at each start.
+    /// Unique id of this start of the process.
     pub id: Uuid,
 }
 
-/// What an instance says about itself in a heartbeat.
+/// Status that an instance reports about itself in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// Name and incarnation.
     pub incarnation: Incarnation,
-    /// Hall.
+    /// Hall of the instance.
     pub hall: String,
-    /// IP and port for callers.
+    /// IP address and port for callers.
     pub caller_address: String,
-    /// IP and port for peers.
+    /// IP address and port for peers.
     pub peer_address: String,
-    /// IP and port for operators.
+    /// IP address and port for operators.
     #[serde(default)]
     pub operator_address: String,
-    /// Whether it is draining.
+    /// Whether the instance is draining.
     pub leaving: bool,
     /// Ticket epoch.
     pub ticket_epoch: u64,
-    /// Next configuration offset.
+    /// Next configuration offset that the instance will read.
     pub config_next_offset: u64,
 }
 
-/// A peer as this instance sees it.
+/// A peer as seen by this instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// What it last said, or what the list says where it said nothing yet.
+    /// Last reported status, or the one from the list if the peer has not been heard yet.
     pub status: PeerStatus,
-    /// Since when this incarnation has been known here.
+    /// Time since which this incarnation is known here.
     pub known_since: Duration,
-    /// When it was last heard directly.
+    /// Time of the last heartbeat received directly from the peer.
     pub last_heard: Option<Duration>,
-    /// When the list last had it.
+    /// Time at which the list last contained the peer.
     pub last_listed: Option<Duration>,
 }
 
-/// Entry of the platform's list of instances.
+/// An entry of the platform's list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
-    /// Instance status as the platform has it.
+pub struct ListedPeer {
+    /// Status of the instance as reported by the platform.
     pub status: PeerStatus,
 }
 
 impl Incarnation {
-    /// The first eight bytes of the id: enough to name a peer among thousands in few bytes.
+    /// Returns the first eight bytes of the id, a compact key that is enough to identify a peer
+    /// among thousands.
     #[must_use]
     pub fn short_id(&self) -> u64 {
         self.id.as_u64_pair().0
     }
 }
 
-/// On what grounds the members of a site count as live or not, as counts of them.
+/// Counts of the members of a site by the evidence for their liveness.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Evidence {
-    /// Heard directly of late.
+pub struct LivenessCounts {
+    /// Members whose heartbeat was received recently.
     pub heard: usize,
-    /// Live since nobody says otherwise.
+    /// Members considered live because nobody reports them.
     pub unreported: usize,
-    /// Live although some instances, too few to count, say that it is silent.
+    /// Members considered live although some instances, too few to confirm it, report them as
+    /// unreachable.
     pub reported: usize,
-    /// Silent.
+    /// Members considered unreachable.
     pub silent: usize,
 }
 
 /// The peers of an instance.
 ///
-/// A small site's instances hear each other directly. In a larger hall each instance watches the next few on a ring of hashed names that answer, and
-/// whom two of them find silent is silent for all (`gossip`).
+/// The instances of a small site exchange heartbeats with all others. In a larger hall each
+/// instance monitors its next few answering successors on a ring of hashed names, and a peer that
+/// two of them report is unreachable for all (see [`gossip`](super::gossip)).
 #[derive(Debug, Clone, Default)]
 pub struct Members {
     peers: BTreeMap<String, Peer>,
-    /// Places of the peers on the ring, with their names; the same names as in `peers`. Hashed once: with 295 members a round of heartbeats
-    /// hashed every name 24 times a second.
+    /// Ring positions and names of the peers; the same names as in `peers`. Cached, since with 295
+    /// members hashing on demand hashed every name 24 times a second for the heartbeat rounds.
     ring: BTreeSet<(u64, String)>,
     /// Names by [`Incarnation::short_id`]; the same names as in `peers`.
     names: HashMap<u64, String>,
-    /// Incarnations that another one took the place of, and when: a list that lags cannot bring them back.
+    /// Replaced incarnations and the time of their replacement. Prevents a delayed list from
+    /// bringing them back.
     replaced: BTreeMap<u64, Duration>,
-    /// Hall on whose ring this instance stands; empty before its first round.
+    /// Hall whose ring this instance is on; empty before its first heartbeat round.
     pub(super) own_hall: String,
-    /// Whom this instance watches.
-    pub(super) watch: Watch,
-    /// Who was found silent.
-    pub(super) standings: Standings,
-    /// When all that were found silent were asked for and told.
-    pub(super) whole: WholeAsked,
-    /// When this instance last sent heartbeats.
+    /// Peers that this instance monitors.
+    pub(super) monitor: PeerMonitor,
+    /// Known member states.
+    pub(super) states: MemberStates,
+    /// Full sync requests of this instance and of its peers.
+    pub(super) full_sync: FullSync,
+    /// Time of this instance's last heartbeat round.
     pub(super) round_at: Option<Duration>,
     /// Departures of instances and endpoints.
     pub departures: Departures,
 }
 
-/// A peer that has not been heard for this long is named to callers no more.
-pub const PEER_SILENT_AFTER: Duration = Duration::from_millis(2_500);
-/// A peer that has neither been heard nor listed for this long is dropped.
-pub const PEER_DROPPED_AFTER: Duration = Duration::from_secs(30);
-/// At sites of more peers, instances hear only some of their own hall; of other halls the list tells.
-pub const SMALL_SITE_PEERS: usize = 12;
-/// Peers that each instance of a larger hall watches.
-pub const WATCHED: usize = 4;
-/// How long the list's word for a peer of another hall holds.
-const LISTED_KEPT: Duration = Duration::from_secs(10);
-/// A peer of another hall is kept this long without list and heartbeat.
-const OTHER_HALL_KEPT: Duration = Duration::from_mins(10);
+/// A peer that has not been heard for this long is no longer returned to callers.
+pub const PEER_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A peer that has neither been heard nor listed for this long is removed.
+pub const PEER_RETENTION: Duration = Duration::from_secs(30);
+/// Maximum number of peers at which every instance hears every other. At larger sites instances
+/// hear only some peers of their own hall, and rely on the list for other halls.
+pub const SMALL_SITE_PEERS_MAX: usize = 12;
+/// Number of peers that each instance of a larger hall monitors.
+pub const MONITORED_PEERS: usize = 4;
+/// Time for which a list entry counts as evidence that a peer of another hall is live.
+const LISTED_RETENTION: Duration = Duration::from_secs(10);
+/// A peer of another hall is removed after this long without a list entry or heartbeat.
+const OTHER_HALL_RETENTION: Duration = Duration::from_mins(10);
 
 impl Members {
-    /// Takes a heartbeat, directly from the peer.
-    pub fn heard(&mut self, status: PeerStatus, now: Duration) {
+    /// Records a heartbeat received directly from a peer.
+    pub fn record_heartbeat(&mut self, status: PeerStatus, now: Duration) {
         if status.leaving {
             self.departures.record(&status.incarnation, now);
         }
@@ -140,122 +146,131 @@
             last_heard: Some(now),
             last_listed,
         };
-        self.put(peer, now);
+        self.insert_peer(peer, now);
     }
 
-    fn put(&mut self, peer: Peer, now: Duration) {
+    fn insert_peer(&mut self, peer: Peer, now: Duration) {
         let incarnation = &peer.status.incarnation;
         let (name, id) = (incarnation.name.clone(), incarnation.short_id());
         let before = self.peers.get(&name);
         let before = before.map(|peer| peer.status.incarnation.short_id());
         if before != Some(id) {
             if let Some(before) = before {
-                self.forget(before);
+                self.remove_incarnation(before);
                 self.replaced.insert(before, now);
             }
             self.replaced.remove(&id);
-            self.ring.insert((ring_place(&name), name.clone()));
+            self.ring.insert((ring_position(&name), name.clone()));
             self.names.insert(id, name.clone());
         }
         self.peers.insert(name, peer);
     }
 
-    fn remove(&mut self, name: &str) {
+    fn remove_peer(&mut self, name: &str) {
         if let Some(peer) = self.peers.remove(name) {
-            self.ring.remove(&(ring_place(name), name.to_owned()));
-            self.forget(peer.status.incarnation.short_id());
+            self.ring.remove(&(ring_position(name), name.to_owned()));
+            self.remove_incarnation(peer.status.incarnation.short_id());
         }
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove_incarnation(&mut self, id: u64) {
         self.names.remove(&id);
-        self.watch.forget(id);
-        self.standings.forget(id);
+        self.monitor.remove(id);
+        self.states.remove(id);
     }
 
-    /// A peer by the short id of its incarnation.
-    pub(super) fn by_id(&self, id: u64) -> Option<&Peer> {
+    /// Returns a peer by the short id of its incarnation.
+    pub(super) fn get_by_id(&self, id: u64) -> Option<&Peer> {
         self.peers.get(self.names.get(&id)?)
     }
 
-    /// The peers of the own hall on the ring, from a place on, that are not leaving.
-    pub(super) fn on_ring_from(&self, place: u64) -> impl Iterator<Item = &Peer> {
-        let from = (place, String::new());
-        let onwards = self.ring.range(from.clone()..);
-        let around = onwards.chain(self.ring.range(..from));
-        let peers = around.filter_map(|(_, name)| self.peers.get(name));
+    /// Returns the peers of this instance's hall in ring order, starting at a position, without
+    /// those that are departing.
+    pub(super) fn ring_peers_from(&self, position: u64) -> impl Iterator<Item = &Peer> {
+        let from = (position, String::new());
+        let clockwise = self.ring.range(from.clone()..);
+        let from_position = clockwise.chain(self.ring.range(..from));
+        let peers = from_position.filter_map(|(_, name)| self.peers.get(name));
         peers.filter(|peer| {
             peer.status.hall == self.own_hall && !self.departures.contains(&peer.status.incarnation)
         })
     }
 
-    /// Whether a peer was found silent.
-    pub(super) fn is_found_silent(&self, peer: &Peer) -> bool {
+    /// Returns whether a peer was confirmed unreachable.
+    pub(super) fn is_unreachable(&self, peer: &Peer) -> bool {
         let id = peer.status.incarnation.short_id();
-        self.standings.is_silent(id)
+        self.states.is_unreachable(id)
     }
 
-    /// On what grounds the members count as live or not.
+    /// Counts the members by the evidence for their liveness.
     #[must_use]
-    pub fn evidence(&self, own_hall: &str, now: Duration) -> Evidence {
-        let mut evidence = Evidence::default();
-        let staying = self.peers.values();
-        for peer in staying.filter(|peer| !self.departures.contains(&peer.status.incarnation)) {
-            let count = if heard_within(peer, PEER_SILENT_AFTER, now) {
-                &mut evidence.heard
-            } else if !self.lives(peer, own_hall, now) {
-                &mut evidence.silent
-            } else if self.watch.reporters(peer.status.incarnation.short_id()) > 0 {
-                &mut evidence.reported
+    pub fn liveness_counts(&self, own_hall: &str, now: Duration) -> LivenessCounts {
+        let mut counts = LivenessCounts::default();
+        let not_departing = self.peers.values();
+        for peer in not_departing.filter(|peer| !self.departures.contains(&peer.status.incarnation))
+        {
+            let count = if heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
+                &mut counts.heard
+            } else if !self.is_considered_live(peer, own_hall, now) {
+                &mut counts.silent
+            } else if self
+                .monitor
+                .reporter_count(peer.status.incarnation.short_id())
+                > 0
+            {
+                &mut counts.reported
             } else {
-                &mut evidence.unreported
+                &mut counts.unreported
             };
             *count += 1;
         }
-        evidence
+        counts
     }
 
-    /// Takes the platform's list. It adds peers and departures; it never overrules what was heard directly.
-    pub fn listed(&mut self, list: &[Listed], own_name: &str, now: Duration) {
+    /// Applies the platform's list. It adds peers and departures, but never overrides heartbeats
+    /// received directly.
+    pub fn apply_list(&mut self, list: &[ListedPeer], own_name: &str, now: Duration) {
         for entry in list
             .iter()
             .filter(|e| e.status.incarnation.name != own_name)
         {
-            self.take_listed(&entry.status, now);
+            self.apply_listed(&entry.status, now);
         }
         self.replaced
-            .retain(|_, at| now.saturating_sub(*at) < PEER_DROPPED_AFTER);
-        let gone: Vec<String> = self
+            .retain(|_, at| now.saturating_sub(*at) < PEER_RETENTION);
+        let expired: Vec<String> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !self.is_kept(peer, now))
+            .filter(|(_, peer)| !self.should_keep(peer, now))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
-            self.remove(&name);
+        for name in expired {
+            self.remove_peer(&name);
         }
     }
 
-    /// In a large hall all peers are kept, also those that are silent: the list may go on naming them, and what was found out of them is lost with
-    /// them. Neither is the list's silence a reason: it names a member once. One entry for each name that the list has ever had.
-    fn is_kept(&self, peer: &Peer, now: Duration) -> bool {
+    /// Returns whether a peer is retained. A large hall retains all peers, including unreachable
+    /// ones: the list may keep naming them, and removing them would also remove their states.
+    /// Absence from the list is no reason for removal, since it names a member only once. This
+    /// takes one entry for each name that the list ever contained.
+    fn should_keep(&self, peer: &Peer, now: Duration) -> bool {
         let since = peer.last_heard.max(peer.last_listed).unwrap_or_default();
         let since = now.saturating_sub(since);
-        let is_watched = peer.status.hall == self.own_hall;
-        let on_large_site = is_watched || since < OTHER_HALL_KEPT;
-        since < PEER_DROPPED_AFTER || (!self.is_small_site() && on_large_site)
+        let is_own_hall = peer.status.hall == self.own_hall;
+        let on_large_site = is_own_hall || since < OTHER_HALL_RETENTION;
+        since < PEER_RETENTION || (!self.is_small_site() && on_large_site)
     }
 
-    /// Peers that have not been silent for long.
-    pub fn counted(&self, now: Duration) -> impl Iterator<Item = &Peer> {
+    /// Returns the peers that are reachable or became unreachable less than [`PEER_RETENTION`] ago.
+    pub fn recently_reachable(&self, now: Duration) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(move |peer| {
             let id = peer.status.incarnation.short_id();
-            let since = self.standings.silent_since(id);
-            since.is_none_or(|since| now.saturating_sub(since) < PEER_DROPPED_AFTER)
+            let since = self.states.unreachable_since(id);
+            since.is_none_or(|since| now.saturating_sub(since) < PEER_RETENTION)
         })
     }
 
-    fn take_listed(&mut self, status: &PeerStatus, now: Duration) {
+    fn apply_listed(&mut self, status: &PeerStatus, now: Duration) {
         if status.leaving {
             self.departures.record(&status.incarnation, now);
         }
@@ -265,8 +280,9 @@
             Some(peer) if peer.status.incarnation == status.incarnation => {
                 peer.last_listed = Some(now);
             }
-            // The list tells of a new incarnation once. Whoever kept the one before, since it had been heard of late, never learned of the new one,
-            // and nobody finds an incarnation silent that no watcher knows.
+            // The list names a new incarnation only once. An instance that ignored it, because it
+            // recently heard the previous incarnation, would never learn of the new one, and an
+            // incarnation that no instance monitors cannot be detected as unreachable.
             _ if self.replaced.contains_key(&id) => {}
             _ => {
                 let peer = Peer {
@@ -275,107 +291,114 @@
                     last_heard: None,
                     last_listed: Some(now),
                 };
-                self.put(peer, now);
+                self.insert_peer(peer, now);
             }
         }
     }
 
-    /// All peers known, to send heartbeats to.
+    /// Returns all known peers.
     pub fn all(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Whether the site is small enough to hear every peer of every hall.
+    /// Returns whether the site is small enough for every instance to hear every peer of every
+    /// hall.
     #[must_use]
     pub fn is_small_site(&self) -> bool {
-        self.peers.len() <= SMALL_SITE_PEERS
+        self.peers.len() <= SMALL_SITE_PEERS_MAX
     }
 
-    /// Peers that live, as far as is known here, and are not leaving.
+    /// Returns the peers that are considered live and are not departing.
     pub fn live<'a>(&'a self, own_hall: &'a str, now: Duration) -> impl Iterator<Item = &'a Peer> {
         self.peers.values().filter(move |peer| {
-            !self.departures.contains(&peer.status.incarnation) && self.lives(peer, own_hall, now)
+            !self.departures.contains(&peer.status.incarnation)
+                && self.is_considered_live(peer, own_hall, now)
         })
     }
 
-    /// Whether a peer lives, as far as is known here, and is not leaving.
+    /// Returns whether a peer is considered live and is not departing.
     #[must_use]
     pub fn is_live(&self, name: &str, own_hall: &str, now: Duration) -> bool {
         self.peers.get(name).is_some_and(|peer| {
-            !self.departures.contains(&peer.status.incarnation) && self.lives(peer, own_hall, now)
+            !self.departures.contains(&peer.status.incarnation)
+                && self.is_considered_live(peer, own_hall, now)
         })
     }
 
-    fn lives(&self, peer: &Peer, own_hall: &str, now: Duration) -> bool {
-        if heard_within(peer, PEER_SILENT_AFTER, now) {
+    fn is_considered_live(&self, peer: &Peer, own_hall: &str, now: Duration) -> bool {
+        if heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
             return true;
         }
         if self.is_small_site() {
             return false;
         }
         if peer.status.hall == own_hall {
-            return !self.is_found_silent(peer);
+            return !self.is_unreachable(peer);
         }
         let listed = peer.last_listed;
-        listed.is_some_and(|at| now.saturating_sub(at) < LISTED_KEPT)
+        listed.is_some_and(|at| now.saturating_sub(at) < LISTED_RETENTION)
     }
 
-    /// A peer by name.
+    /// Returns a peer by name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Peer> {
         self.peers.get(name)
     }
 
-    /// Whether most of the peers that this instance should hear are silent.
+    /// Returns whether this instance does not hear most of the peers that it should hear.
     #[must_use]
-    pub fn isolated(&self, own_name: &str, own_hall: &str, now: Duration) -> bool {
+    pub fn is_isolated(&self, own_name: &str, own_hall: &str, now: Duration) -> bool {
         if self.is_small_site() {
             let all = self.peers.values();
-            let staying = all.filter(|peer| !self.departures.contains(&peer.status.incarnation));
-            return mostly_silent(staying, now);
+            let not_departing =
+                all.filter(|peer| !self.departures.contains(&peer.status.incarnation));
+            return is_mostly_unheard(not_departing, now);
         }
-        let watched: Vec<&Peer> = self.window(own_name, now).collect();
-        if watched.is_empty() {
+        let monitored: Vec<&Peer> = self.monitored_window(own_name, now).collect();
+        if monitored.is_empty() {
             return self.peers.values().any(|peer| peer.status.hall == own_hall);
         }
-        mostly_silent(watched.into_iter(), now)
+        is_mostly_unheard(monitored.into_iter(), now)
     }
 }
 
-fn mostly_silent<'a>(expected: impl Iterator<Item = &'a Peer>, now: Duration) -> bool {
+fn is_mostly_unheard<'a>(expected: impl Iterator<Item = &'a Peer>, now: Duration) -> bool {
     let (mut all, mut heard) = (0, 0);
     for peer in expected {
         all += 1;
-        heard += usize::from(heard_within(peer, PEER_SILENT_AFTER, now));
+        heard += usize::from(heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now));
     }
     all > 0 && heard * 2 < all
 }
 
-/// Place of a name on the ring.
-pub(super) fn ring_place(name: &str) -> u64 {
+/// Returns the ring position of a name.
+pub(super) fn ring_position(name: &str) -> u64 {
     rendezvous_weight("ring", name)
 }
 
-/// Whether a peer was heard directly of late.
+/// Returns whether a heartbeat of a peer was received within the given time.
 pub(super) fn heard_within(peer: &Peer, within: Duration, now: Duration) -> bool {
     peer.last_heard
         .is_some_and(|at| now.saturating_sub(at) < within)
 }
 
-/// The member with the highest hash for a key: all instances with the same view choose the same one.
+/// Returns the member with the highest hash for a key (rendezvous hashing). All instances with the
+/// same view select the same member.
 #[must_use]
 pub fn rendezvous<'a>(key: &str, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     members.max_by_key(|member| rendezvous_weight(key, member))
 }
 
-/// Weight of a member for a key, so that members win in proportion to their capacity.
+/// Returns the capacity-weighted rendezvous weight of a member for a key: members win in proportion
+/// to their capacity.
 #[must_use]
 pub fn weighted_rendezvous(key: &str, member: &str, capacity: f64) -> f64 {
-    let drawn = rendezvous_share(key, member).max(f64::MIN_POSITIVE);
-    drawn.ln() / capacity.max(f64::EPSILON)
+    let share = rendezvous_share(key, member).max(f64::MIN_POSITIVE);
+    share.ln() / capacity.max(f64::EPSILON)
 }
 
-/// Weight of a member for a key, as a share of the largest weight there is: from 0 to 1.
+/// Returns the rendezvous weight of a member for a key, as a fraction of the maximum weight, from 0
+/// to 1.
 #[must_use]
 pub fn rendezvous_share(key: &str, member: &str) -> f64 {
     #[expect(
@@ -386,7 +409,7 @@
     share
 }
 
-/// Weight of a member for a key.
+/// Returns the rendezvous weight of a member for a key.
 #[must_use]
 pub fn rendezvous_weight(key: &str, member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -11,9 +11,9 @@
 use crate::kernel::evacuation::EvacuatedHalls;
 use crate::kernel::gossip::Gossip;
 use crate::kernel::group::ReserveRequest;
+use crate::kernel::member_states::MemberState;
 use crate::kernel::membership::{Incarnation, PeerStatus};
 use crate::kernel::position::Position;
-use crate::kernel::standings::Standing;
 use crate::kernel::suspects::{End, Told};
 
 /// A field of a message that cannot be read.
@@ -104,22 +104,22 @@
     }
 }
 
-impl From<Standing> for wire::Standing {
-    fn from(standing: Standing) -> Self {
+impl From<MemberState> for wire::Standing {
+    fn from(state: MemberState) -> Self {
         Self {
-            member: standing.member,
-            life: standing.life,
-            silent: standing.silent,
+            member: state.member,
+            life: state.refutations,
+            silent: state.unreachable,
         }
     }
 }
 
-impl From<wire::Standing> for Standing {
+impl From<wire::Standing> for MemberState {
     fn from(message: wire::Standing) -> Self {
         Self {
             member: message.member,
-            life: message.life,
-            silent: message.silent,
+            refutations: message.life,
+            unreachable: message.silent,
         }
     }
 }
@@ -128,10 +128,10 @@
     fn from(gossip: Gossip) -> Self {
         Self {
             suspected: gossip.suspected,
-            heard: gossip.heard,
-            standings: gossip.standings.into_iter().map(Into::into).collect(),
-            asks_whole: gossip.asks_whole,
-            is_whole: gossip.is_whole,
+            heard: gossip.reachable,
+            standings: gossip.states.into_iter().map(Into::into).collect(),
+            asks_whole: gossip.requests_full_sync,
+            is_whole: gossip.is_full_sync,
         }
     }
 }
@@ -140,10 +140,10 @@
     fn from(message: wire::Gossip) -> Self {
         Self {
             suspected: message.suspected,
-            heard: message.heard,
-            standings: message.standings.into_iter().map(Into::into).collect(),
-            asks_whole: message.asks_whole,
-            is_whole: message.is_whole,
+            reachable: message.heard,
+            states: message.standings.into_iter().map(Into::into).collect(),
+            requests_full_sync: message.asks_whole,
+            is_full_sync: message.is_whole,
         }
     }
 }
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -22,6 +22,8 @@
 mod limit;
 #[path = "kernel/losses.rs"]
 mod losses;
+#[path = "kernel/member_states.rs"]
+mod member_states;
 #[path = "kernel/membership.rs"]
 mod membership;
 #[path = "kernel/owner_contact.rs"]
@@ -46,8 +48,6 @@
 mod sharers;
 #[path = "kernel/site_rules.rs"]
 mod site_rules;
-#[path = "kernel/standings.rs"]
-mod standings;
 #[path = "kernel/store_contact.rs"]
 mod store_contact;
 #[path = "kernel/store_sources.rs"]
--- a/tests/kernel/hall.rs
+++ b/tests/kernel/hall.rs
@@ -1,17 +1,19 @@
-//! A hall of instances in simulated time, each with a view of its own of the others.
+//! A simulated hall of instances on a manual clock, each with its own view of the others.
 
 use std::time::Duration;
 
 use larkwick::kernel::clock::{Clock, ManualClock};
 use larkwick::kernel::gossip::Gossip;
-use larkwick::kernel::membership::{Incarnation, Listed, Members, PeerStatus, rendezvous_weight};
+use larkwick::kernel::membership::{
+    Incarnation, ListedPeer, Members, PeerStatus, rendezvous_weight,
+};
 use uuid::Uuid;
 
-/// Time between two rounds of heartbeats.
+/// Heartbeat interval.
 pub const PERIOD: Duration = Duration::from_millis(500);
 const HALL_INSTANCES: usize = 110;
 
-/// What an instance says of itself.
+/// Returns the status of an instance.
 pub fn status(name: &str, id: u128, leaving: bool) -> PeerStatus {
     PeerStatus {
         incarnation: Incarnation {
@@ -28,35 +30,35 @@
     }
 }
 
-/// Whether two instances cannot hear each other, by number.
+/// Returns whether the link between two instances, given by index, is cut.
 type IsCut = Box<dyn Fn(usize, usize) -> bool>;
 
-/// Instances that tell each other of each other.
+/// Instances that exchange heartbeats.
 pub struct Hall {
     pub clock: ManualClock,
     statuses: Vec<PeerStatus>,
     pub views: Vec<Members>,
-    /// Instances that say nothing any more, by number.
+    /// Lost instances, which send nothing, by index.
     is_lost: Vec<bool>,
     is_cut: IsCut,
-    /// Most beats that one instance sent in a round.
-    pub beats_max: usize,
-    /// Most members that one beat named, but for those that name all that are silent.
+    /// Maximum number of heartbeats that one instance sent in a round.
+    pub heartbeats_max: usize,
+    /// Maximum number of members named in one heartbeat, full syncs excluded.
     pub entries_max: usize,
-    /// Members that all beats named.
+    /// Total number of members named in all heartbeats.
     pub entries: u32,
 }
 
 impl Hall {
-    /// A hall of the size to design for.
+    /// Returns a hall of the design size.
     pub fn new() -> Self {
         Self::of(HALL_INSTANCES)
     }
 
-    /// A hall of so many instances, all of which know each other from the list.
+    /// Returns a hall with this number of instances, all of which know each other from the list.
     pub fn of(instances: usize) -> Self {
         let clock = ManualClock::default();
-        // Short ids are the upper half of the id.
+        // The short id is the upper half of the id.
         let statuses: Vec<PeerStatus> = (0..instances)
             .map(|id| status(&format!("i{id}"), (id as u128 + 1) << 64, false))
             .collect();
@@ -66,7 +68,7 @@
             is_lost: vec![false; instances],
             is_cut: Box::new(|_, _| false),
             statuses,
-            beats_max: 0,
+            heartbeats_max: 0,
             entries_max: 0,
             entries: 0,
         };
@@ -76,60 +78,60 @@
         hall
     }
 
-    /// An instance reads the list as if for the first time.
+    /// Makes an instance read the whole list.
     pub fn read_list(&mut self, index: usize) {
-        let listed = self.statuses.iter().map(|status| Listed {
+        let listed = self.statuses.iter().map(|status| ListedPeer {
             status: status.clone(),
         });
-        let listed: Vec<Listed> = listed.collect();
+        let listed: Vec<ListedPeer> = listed.collect();
         let own_name = &self.statuses[index].incarnation.name;
-        self.views[index].listed(&listed, own_name, self.clock.now());
+        self.views[index].apply_list(&listed, own_name, self.clock.now());
     }
 
     pub fn index_of(&self, name: &str) -> usize {
-        let its = |status: &PeerStatus| status.incarnation.name == name;
-        self.statuses.iter().position(its).expect("known")
+        let matches = |status: &PeerStatus| status.incarnation.name == name;
+        self.statuses.iter().position(matches).expect("known")
     }
 
     pub fn incarnation(&self, index: usize) -> &Incarnation {
         &self.statuses[index].incarnation
     }
 
-    /// A peer that the first instance watches.
-    pub fn watched_by_first(&mut self) -> String {
-        let next = self.told(0).first().copied().expect("others");
+    /// Returns the name of a peer that the first instance monitors.
+    pub fn monitored_by_first(&mut self) -> String {
+        let next = self.targets_of(0).first().copied().expect("others");
         self.incarnation(next).name.clone()
     }
 
-    /// These say nothing any more.
+    /// Stops these instances from sending or answering heartbeats.
     pub fn lose(&mut self, indices: impl IntoIterator<Item = usize>) {
         for index in indices {
             self.is_lost[index] = true;
         }
     }
 
-    /// These are heard again.
-    pub fn bring_back(&mut self, indices: impl IntoIterator<Item = usize>) {
+    /// Resumes these instances.
+    pub fn restore(&mut self, indices: impl IntoIterator<Item = usize>) {
         for index in indices {
             self.is_lost[index] = false;
         }
     }
 
-    /// An instance ends and is started anew; it knows what the list says.
+    /// Restarts an instance, which then knows only the list.
     pub fn restart(&mut self, index: usize) {
         let name = self.statuses[index].incarnation.name.clone();
-        // Each start has a short id of its own.
+        // Each incarnation has its own short id.
         let id = (self.clock.now().as_nanos() + index as u128) << 64;
         self.statuses[index] = status(&name, id, false);
         self.views[index] = Members::default();
         self.read_list(index);
     }
 
-    /// All instances, in the order of the ring.
-    pub fn by_ring(&self) -> Vec<usize> {
-        let mut by_place: Vec<usize> = (0..self.views.len()).collect();
-        by_place.sort_by_key(|index| rendezvous_weight("ring", &self.incarnation(*index).name));
-        by_place
+    /// Returns all instances in ring order.
+    pub fn in_ring_order(&self) -> Vec<usize> {
+        let mut by_position: Vec<usize> = (0..self.views.len()).collect();
+        by_position.sort_by_key(|index| rendezvous_weight("ring", &self.incarnation(*index).name));
+        by_position
     }
 
     pub fn lost(&self) -> Vec<usize> {
@@ -137,60 +139,60 @@
         all.filter(|index| self.is_lost[*index]).collect()
     }
 
-    pub fn living(&self) -> Vec<usize> {
+    pub fn live_indices(&self) -> Vec<usize> {
         let all = 0..self.views.len();
         all.filter(|index| !self.is_lost[*index]).collect()
     }
 
-    /// From now on these pairs cannot hear each other.
+    /// Cuts the links for which `is_cut` returns true.
     pub fn cut(&mut self, is_cut: impl Fn(usize, usize) -> bool + 'static) {
         self.is_cut = Box::new(is_cut);
     }
 
-    pub fn told(&mut self, from: usize) -> Vec<usize> {
+    pub fn targets_of(&mut self, from: usize) -> Vec<usize> {
         let own = &self.statuses[from].incarnation;
-        let told = self.views[from].to_tell(own, "h", self.clock.now());
-        told.iter().map(|name| self.index_of(name)).collect()
+        let targets = self.views[from].heartbeat_targets(own, "h", self.clock.now());
+        targets.iter().map(|name| self.index_of(name)).collect()
     }
 
-    /// What an instance sends to another, whether or not it arrives.
-    fn sent(&mut self, from: usize, to: usize) -> Gossip {
+    /// Returns the gossip that an instance sends to another, whether or not it arrives.
+    fn gossip_between(&mut self, from: usize, to: usize) -> Gossip {
         let own = &self.statuses[from].incarnation;
         let to_name = &self.statuses[to].incarnation.name;
-        let gossip = self.views[from].gossip(own, "h", to_name, self.clock.now());
-        if !gossip.is_whole {
+        let gossip = self.views[from].gossip_for(own, "h", to_name, self.clock.now());
+        if !gossip.is_full_sync {
             self.entries_max = self.entries_max.max(gossip.entries());
             self.entries += u32::try_from(gossip.entries()).expect("few");
         }
         gossip
     }
 
-    fn arrives(&mut self, from: usize, to: usize, gossip: &Gossip) {
+    fn deliver(&mut self, from: usize, to: usize, gossip: &Gossip) {
         let receiver = &self.statuses[to].incarnation;
         let sender = self.statuses[from].clone();
-        self.views[to].take(receiver, sender, gossip, self.clock.now());
+        self.views[to].receive_heartbeat(receiver, sender, gossip, self.clock.now());
     }
 
-    /// One round of heartbeats and their replies.
+    /// Simulates one round of heartbeats and replies.
     pub fn round(&mut self) {
-        for from in self.living() {
-            let told = self.told(from);
-            self.beats_max = self.beats_max.max(told.len());
-            for to in told {
+        for from in self.live_indices() {
+            let targets = self.targets_of(from);
+            self.heartbeats_max = self.heartbeats_max.max(targets.len());
+            for to in targets {
                 let is_cut = (self.is_cut)(from, to) || (self.is_cut)(to, from);
-                let gossip = self.sent(from, to);
+                let gossip = self.gossip_between(from, to);
                 if is_cut || self.is_lost[to] {
                     continue;
                 }
-                self.arrives(from, to, &gossip);
-                let reply = self.sent(to, from);
-                self.arrives(to, from, &reply);
+                self.deliver(from, to, &gossip);
+                let reply = self.gossip_between(to, from);
+                self.deliver(to, from, &reply);
             }
         }
         self.clock.advance(PERIOD);
     }
 
-    /// Rounds for so long.
+    /// Simulates rounds for this length of time.
     pub fn play(&mut self, length: Duration) {
         let until = self.clock.now() + length;
         while self.clock.now() < until {
@@ -198,23 +200,23 @@
         }
     }
 
-    /// Whether an instance counts another one as live.
+    /// Returns whether an instance counts another one as live.
     pub fn counts_as_live(&self, viewer: usize, member: usize) -> bool {
         let name = &self.statuses[member].incarnation.name;
         self.views[viewer].is_live(name, "h", self.clock.now())
     }
 
-    /// How many of the living count this instance as live.
+    /// Returns the number of live instances that count this one as live.
     pub fn live_in_views(&self, name: &str) -> usize {
         let member = self.index_of(name);
-        let living = self.living().into_iter();
-        living
+        let live_indices = self.live_indices().into_iter();
+        live_indices
             .filter(|viewer| self.counts_as_live(*viewer, member))
             .count()
     }
 
-    /// Pairs of a living instance and a lost one that it still counts as live.
-    pub fn lost_counted_as_live(&self) -> usize {
+    /// Returns the number of pairs of a live instance and a lost one that it still counts as live.
+    pub fn lost_pairs_counted_as_live(&self) -> usize {
         let lost = self.lost();
         let counted = |viewer: usize| {
             let counted = lost.iter();
@@ -222,18 +224,19 @@
                 .filter(|member| self.counts_as_live(viewer, **member))
                 .count()
         };
-        self.living().into_iter().map(counted).sum()
+        self.live_indices().into_iter().map(counted).sum()
     }
 
-    /// Pairs of living instances of which one does not count the other as live.
-    pub fn living_not_counted(&self) -> usize {
-        let living = self.living();
+    /// Returns the number of ordered pairs of live instances in which the first does not count the
+    /// second as live.
+    pub fn live_pairs_not_counted(&self) -> usize {
+        let live_indices = self.live_indices();
         let left_out = |viewer: usize| {
-            let others = living.iter().filter(|member| **member != viewer);
+            let others = live_indices.iter().filter(|member| **member != viewer);
             others
                 .filter(|member| !self.counts_as_live(viewer, **member))
                 .count()
         };
-        living.iter().map(|viewer| left_out(*viewer)).sum()
+        live_indices.iter().map(|viewer| left_out(*viewer)).sum()
     }
 }
--- a/tests/kernel/membership.rs
+++ b/tests/kernel/membership.rs
@@ -1,19 +1,19 @@
-//! Members, departures and leases on a clock moved by hand.
+//! Membership, departures and leases on a manual clock.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use larkwick::kernel::clock::{Clock, ManualClock};
 use larkwick::kernel::departures::Departures;
-use larkwick::kernel::gossip::{DISTANT, WATCHED};
+use larkwick::kernel::gossip::{DISTANT_PEERS, MONITORED_PEERS};
 use larkwick::kernel::lease::{LeaseFold, LeaseKeeper, LeaseStep, LeaseTimes};
-use larkwick::kernel::membership::{Listed, Members, PEER_SILENT_AFTER, rendezvous};
+use larkwick::kernel::membership::{ListedPeer, Members, PEER_HEARTBEAT_TIMEOUT, rendezvous};
 use uuid::Uuid;
 
 use super::hall::{Hall, status};
 
-/// The brief's "a few seconds" for a leaving endpoint or instance.
-const LEAVING_WITHIN: Duration = Duration::from_secs(3);
+/// The required bound of a few seconds for a departing endpoint or instance.
+const DEPARTURE_BOUND: Duration = Duration::from_secs(3);
 
 fn live(members: &Members, clock: &ManualClock) -> Vec<String> {
     let live = members.live("h", clock.now());
@@ -22,36 +22,36 @@
 }
 
 #[test]
-fn members_silent_peer_not_named_within_bound() {
+fn members_silent_peer_not_live_within_bound() {
     let clock = ManualClock::default();
     let mut members = Members::default();
-    members.heard(status("i1", 1, false), clock.now());
-    clock.advance(PEER_SILENT_AFTER.saturating_sub(Duration::from_millis(1)));
+    members.record_heartbeat(status("i1", 1, false), clock.now());
+    clock.advance(PEER_HEARTBEAT_TIMEOUT.saturating_sub(Duration::from_millis(1)));
     assert_eq!(live(&members, &clock), ["i1"]);
     clock.advance(Duration::from_millis(1));
     assert!(live(&members, &clock).is_empty());
-    assert!(PEER_SILENT_AFTER <= LEAVING_WITHIN);
+    assert!(PEER_HEARTBEAT_TIMEOUT <= DEPARTURE_BOUND);
 }
 
 #[test]
 fn members_list_never_brings_a_departed_incarnation_back() {
     let clock = ManualClock::default();
     let mut members = Members::default();
-    members.heard(status("i1", 1, true), clock.now());
+    members.record_heartbeat(status("i1", 1, true), clock.now());
     assert!(
         live(&members, &clock).is_empty(),
         "from the moment it is heard"
     );
-    let listed = Listed {
+    let listed = ListedPeer {
         status: status("i1", 1, false),
     };
     for _ in 0..100 {
         clock.advance(Duration::from_secs(1));
-        members.listed(std::slice::from_ref(&listed), "i0", clock.now());
-        members.heard(status("i1", 1, false), clock.now());
+        members.apply_list(std::slice::from_ref(&listed), "i0", clock.now());
+        members.record_heartbeat(status("i1", 1, false), clock.now());
         assert!(live(&members, &clock).is_empty());
     }
-    members.heard(status("i1", 2, false), clock.now());
+    members.record_heartbeat(status("i1", 2, false), clock.now());
     assert_eq!(
         live(&members, &clock),
         ["i1"],
@@ -59,19 +59,20 @@
     );
 }
 
-/// The list tells of a member once. With the next word of the list after ten minutes an instance forgot all members that it does not hear itself.
+/// The list names a member only once. An instance used to remove all members that it does not hear
+/// itself when the list was next read after ten minutes.
 #[test]
 fn listed_after_ten_minutes_members_not_heard_stay_known() {
     let clock = ManualClock::default();
     let mut members = Members::default();
-    let listed = |id: u128| Listed {
+    let listed = |id: u128| ListedPeer {
         status: status(&format!("i{id}"), id << 64, false),
     };
-    let all: Vec<Listed> = (1..=60).map(listed).collect();
-    members.listed(&all, "i0", clock.now());
-    members.to_tell(&status("i0", 61 << 64, false).incarnation, "h", clock.now());
+    let all: Vec<ListedPeer> = (1..=60).map(listed).collect();
+    members.apply_list(&all, "i0", clock.now());
+    members.heartbeat_targets(&status("i0", 61 << 64, false).incarnation, "h", clock.now());
     clock.advance(Duration::from_mins(11));
-    members.listed(&[listed(61)], "i0", clock.now());
+    members.apply_list(&[listed(61)], "i0", clock.now());
     assert_eq!(live(&members, &clock).len(), 61);
 }
 
@@ -80,18 +81,18 @@
     let clock = ManualClock::default();
     let mut members = Members::default();
     for id in 1..=4 {
-        members.heard(status(&format!("i{id}"), id, false), clock.now());
+        members.record_heartbeat(status(&format!("i{id}"), id, false), clock.now());
     }
-    assert!(!members.isolated("i0", "h", clock.now()));
+    assert!(!members.is_isolated("i0", "h", clock.now()));
     clock.advance(Duration::from_secs(5));
-    members.heard(status("i1", 1, false), clock.now());
-    assert!(members.isolated("i0", "h", clock.now()));
-    members.heard(status("i2", 2, false), clock.now());
-    assert!(!members.isolated("i0", "h", clock.now()));
+    members.record_heartbeat(status("i1", 1, false), clock.now());
+    assert!(members.is_isolated("i0", "h", clock.now()));
+    members.record_heartbeat(status("i2", 2, false), clock.now());
+    assert!(!members.is_isolated("i0", "h", clock.now()));
 }
 
 #[test]
-fn departures_recent_ones_passed_on_old_ones_kept() {
+fn departures_recent_ones_forwarded_old_ones_kept() {
     let mut departures = Departures::default();
     let gone = status("e1", 1, true).incarnation;
     assert!(departures.record(&gone, Duration::from_secs(10)));
@@ -138,7 +139,7 @@
         panic!("nobody holds it");
     };
     assert!(log.apply(0, &claim));
-    // The reply was lost and the claim is only found nine seconds later.
+    // The reply was lost, and the claim is only read nine seconds later.
     keeper.observe(log.held("h"), Duration::from_secs(10));
     assert!(keeper.proof(Duration::from_millis(10_999)).is_some());
     assert!(keeper.proof(Duration::from_secs(11)).is_none());
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn members_hall_of_110_live_peers_never_silent() {
+fn members_hall_of_110_live_peers_never_unreachable() {
     let mut hall = Hall::new();
     for round in 0..120 {
         hall.round();
@@ -200,8 +201,9 @@
 }
 
 #[test]
-fn members_hall_of_110_dead_peer_silent_everywhere_within_bound() {
-    /// Counted from its last word: two seconds until it is reported, the rest until all have heard.
+fn members_hall_of_110_dead_peer_unreachable_everywhere_within_bound() {
+    /// Measured from the last heartbeat: two seconds until the peer is reported, the rest until all
+    /// instances know.
     const BOUND: Duration = Duration::from_secs(6);
     let mut hall = Hall::new();
     for _ in 0..20 {
@@ -218,7 +220,7 @@
         );
     }
     println!(
-        "silent everywhere after {:?}",
+        "unreachable everywhere after {:?}",
         hall.clock.now().saturating_sub(died)
     );
     for _ in 0..40 {
@@ -228,37 +230,42 @@
 }
 
 #[test]
-fn members_hall_of_110_one_link_cut_nobody_silent() {
+fn members_hall_of_110_one_link_cut_nobody_unreachable() {
     let mut hall = Hall::new();
-    let watched = hall.watched_by_first();
-    let other = hall.index_of(&watched);
+    let monitored = hall.monitored_by_first();
+    let other = hall.index_of(&monitored);
     hall.cut(move |from, to| (from, to) == (0, other));
     for _ in 0..60 {
         hall.round();
     }
-    // Its own watcher alone says so; the others hear it.
-    assert_eq!(hall.live_in_views(&watched), 109);
+    // Only the instance behind the cut link reports it; the others hear it and refute the report.
+    assert_eq!(hall.live_in_views(&monitored), 109);
 }
 
-/// With new distant peers in every round, each of 295 instances told 294 others within minutes, each over a connection of its own.
+/// If the distant peers changed in every round, each of 295 instances would within minutes have
+/// sent heartbeats to 294 others, each over its own connection.
 #[test]
 fn distant_site_of_295_for_a_minute_few_connections() {
     let mut hall = Hall::of(295);
-    let mut told: Vec<BTreeSet<usize>> = vec![BTreeSet::new(); 295];
+    let mut targets: Vec<BTreeSet<usize>> = vec![BTreeSet::new(); 295];
     for _ in 0..120 {
-        for (from, told) in told.iter_mut().enumerate() {
-            told.extend(hall.told(from));
+        for (from, targets) in targets.iter_mut().enumerate() {
+            targets.extend(hall.targets_of(from));
         }
-        // Peers answer: what is told where they do not is bounded in the tests of losses.
+        // All peers answer here; the number of heartbeats to peers that do not is bounded by the
+        // tests of losses.
         hall.round();
     }
     let turns = 3;
-    let most = told.iter().map(BTreeSet::len).max();
-    assert!(most <= Some(WATCHED + turns * DISTANT), "{most:?}");
+    let most = targets.iter().map(BTreeSet::len).max();
+    assert!(
+        most <= Some(MONITORED_PEERS + turns * DISTANT_PEERS),
+        "{most:?}"
+    );
 }
 
 #[test]
-fn members_site_of_295_dead_peer_silent_everywhere_within_bound() {
+fn members_site_of_295_dead_peer_unreachable_everywhere_within_bound() {
     const BOUND: Duration = Duration::from_secs(6);
     let mut hall = Hall::of(295);
     for _ in 0..6 {
--- a/tests/kernel/suspects.rs
+++ b/tests/kernel/suspects.rs
@@ -369,7 +369,7 @@
         let now = hall.clock.now();
         let news: Vec<Vec<Told>> = suspects.iter().map(|one| one.news(now)).collect();
         for from in 0..instances {
-            for to in hall.told(from) {
+            for to in hall.targets_of(from) {
                 for told in &news[from] {
                     suspects[to].take(told, now);
                 }
