--- a/src/kernel/membership.rs
+++ b/src/kernel/membership.rs
@@ -94,8 +94,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct Members {
     peers: BTreeMap<String, Peer>,
-    /// Ring positions and names of the peers; the same names as in `peers`. Cached, since with 295
-    /// members hashing on demand hashed every name 24 times a second for the heartbeat rounds.
+    /// Ring positions and names of the peers; the same names as in `peers`. Cached,
+    /// since at 295 members the heartbeat rounds would hash every name 24 times a second.
     ring: BTreeSet<(u64, String)>,
     /// Names by [`Incarnation::short_id`]; the same names as in `peers`.
     names: HashMap<u64, String>,
@@ -257,8 +257,8 @@
         let since = peer.last_heard.max(peer.last_listed).unwrap_or_default();
         let since = now.saturating_sub(since);
         let is_own_hall = peer.status.hall == self.own_hall;
-        let on_large_site = is_own_hall || since < OTHER_HALL_RETENTION;
-        since < PEER_RETENTION || (!self.is_small_site() && on_large_site)
+        let should_keep_on_large_site = is_own_hall || since < OTHER_HALL_RETENTION;
+        since < PEER_RETENTION || (!self.is_small_site() && should_keep_on_large_site)
     }
 
     /// Returns the peers that are reachable or became unreachable less than [`PEER_RETENTION`] ago.
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -1,6 +1,6 @@
-//! Decisions only: no sockets, no threads, no clock reads. Time and randomness are passed in.
+//! Decision logic without sockets, threads or clock reads: time and randomness are passed in.
 //!
-//! The same functions run under the daemon, in unit tests with a manual clock and in the model checker.
+//! The daemon, unit tests with a manual clock and the model checker all run these functions.
 
 pub mod attempt;
 pub mod backoff;
--- a/tests/kernel/losses.rs
+++ b/tests/kernel/losses.rs
@@ -71,10 +71,10 @@
     const RECOVERED_WITHIN: Duration = Duration::from_secs(4);
     let mut hall = Hall::of(300);
     hall.play(WARM_UP);
-    let frozen = sample(&hall, 0.35);
-    hall.lose(frozen.iter().copied());
+    let suspended = sample(&hall, 0.35);
+    hall.lose(suspended.iter().copied());
     hall.play(Duration::from_secs(12));
-    hall.restore(frozen);
+    hall.restore(suspended);
     hall.play(RECOVERED_WITHIN);
     assert_eq!(hall.live_pairs_not_counted(), 0);
     hall.play(Duration::from_secs(10));
@@ -127,8 +127,8 @@
     let mut hall = Hall::of(300);
     hall.play(WARM_UP);
     let ring = hall.in_ring_order();
-    let kept = [ring[0], ring[150]];
-    let lost = (0..300).filter(|index| !kept.contains(index));
+    let remaining = [ring[0], ring[150]];
+    let lost = (0..300).filter(|index| !remaining.contains(index));
     hall.lose(lost.collect::<Vec<_>>());
     play_until_removed(&mut hall, WITHIN);
     assert_eq!(hall.live_pairs_not_counted(), 0);
@@ -204,8 +204,8 @@
     hall.play(WARM_UP);
     hall.lose(sample(&hall, 0.35));
     hall.play(Duration::from_mins(15));
-    let started = hall.live_indices()[0];
-    hall.restart(started);
+    let restarted = hall.live_indices()[0];
+    hall.restart(restarted);
     hall.play(Duration::from_secs(1));
     assert_eq!(hall.lost_pairs_counted_as_live(), 0);
     hall.play(Duration::from_secs(10));
--- a/tests/kernel/membership.rs
+++ b/tests/kernel/membership.rs
@@ -40,7 +40,7 @@
     members.record_heartbeat(status("i1", 1, true), clock.now());
     assert!(
         live(&members, &clock).is_empty(),
-        "from the moment it is heard"
+        "from its first heartbeat on"
     );
     let listed = ListedPeer {
         status: status("i1", 1, false),
@@ -55,7 +55,7 @@
     assert_eq!(
         live(&members, &clock),
         ["i1"],
-        "another incarnation may come"
+        "another incarnation may join"
     );
 }
 
@@ -98,7 +98,7 @@
     assert!(departures.record(&gone, Duration::from_secs(10)));
     assert!(
         !departures.record(&gone, Duration::from_secs(50)),
-        "no news"
+        "already known"
     );
     assert_eq!(
         departures.recorded_since(Duration::from_secs(10)).count(),
--- a/tests/kernel/store_sources.rs
+++ b/tests/kernel/store_sources.rs
@@ -75,7 +75,7 @@
     let names: Vec<String> = (0..60).map(|number| format!("n{number}")).collect();
     let members: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), 0.25)).collect();
     let readers = readers_for("n0", &members);
-    let at_store = |at| {
+    let readers_at = |at| {
         let first_sources = members.iter().map(|(name, _)| {
             let mut sources = StoreSources::default();
             for reader in &readers {
@@ -90,9 +90,9 @@
             .filter(|source| *source == Source::Store)
             .count()
     };
-    assert_eq!(at_store(ms(10)), 2 * readers.len());
+    assert_eq!(readers_at(ms(10)), 2 * readers.len());
     // Later the readers are asked again.
-    assert_eq!(at_store(ms(2_001)), readers.len());
+    assert_eq!(readers_at(ms(2_001)), readers.len());
 }
 
 #[test]
@@ -111,20 +111,24 @@
 #[test]
 fn ordered_sources_store_unavailable_follower_seldom_asks_it() {
     let (follower, reader) = follower_and_reader();
-    let asked_of = |name: &str| {
+    let store_calls_by = |name: &str| {
         let mut sources = StoreSources::default();
-        let mut asked = 0;
+        let mut calls = 0;
         for round in 0..200 {
             let now = ms(round * 300);
             for source in sources.ordered_sources(&plan(name), now) {
-                asked += u32::from(source == Source::Store);
+                calls += u32::from(source == Source::Store);
                 sources.record_failure(&source, now, 0.5);
             }
         }
-        asked
+        calls
     };
-    assert!(asked_of(follower) <= 30, "{}", asked_of(follower));
-    assert!(asked_of(reader) >= 80, "{}", asked_of(reader));
+    assert!(
+        store_calls_by(follower) <= 30,
+        "{}",
+        store_calls_by(follower)
+    );
+    assert!(store_calls_by(reader) >= 80, "{}", store_calls_by(reader));
 }
 
 /// The store rejects the readers but serves others: a follower finds this out by itself.
@@ -140,8 +144,8 @@
         now += ms(300);
     }
     let within = (0..=10).map(|round| now + ms(round * 300));
-    let mut asks = within.map(|at| sources.ordered_sources(&plan(follower), at));
-    assert!(asks.any(|order| order.contains(&Source::Store)));
+    let mut orders = within.map(|at| sources.ordered_sources(&plan(follower), at));
+    assert!(orders.any(|order| order.contains(&Source::Store)));
 }
 
 #[test]
@@ -157,7 +161,7 @@
 }
 
 #[test]
-fn backoff_pauses_double_to_the_longest_and_begin_anew() {
+fn backoff_pauses_double_to_the_maximum_and_reset() {
     let mut backoff = Backoff::new(ms(100), ms(350));
     let pauses: Vec<Duration> = (0..4).map(|_| backoff.failed(1.0)).collect();
     assert_eq!(pauses, [ms(100), ms(200), ms(350), ms(350)]);
@@ -219,7 +223,7 @@
     let plans = names.iter().map(|name| ReaderPlan::new(name, &members));
     for plan in plans.filter(ReaderPlan::reads_through_relays) {
         let mut sources = StoreSources::default();
-        let asked = (0..8).any(|round| {
+        let is_asked = (0..8).any(|round| {
             let now = ms(round * 200);
             let order = sources.ordered_sources(&plan, now);
             for source in &order {
@@ -227,6 +231,6 @@
             }
             order.contains(&Source::Store)
         });
-        assert!(asked, "{}", plan.own_name);
+        assert!(is_asked, "{}", plan.own_name);
     }
 }
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -1,6 +1,9 @@
-//! Lease and fenced orders: holders are paused, claims arrive late or not at all. No older order takes effect after a newer one
-//! where the endpoint checks fences; where it does not, only an order that its sender held back in a pause can, and the holder's
-//! repeated order repairs it.
+//! Model of the lease and of fenced orders. Holders may pause, and claims may arrive late or not at
+//! all.
+//!
+//! If the endpoint checks fences, no older order takes effect after a newer one. If it does not,
+//! this can only happen with an order that its sender delayed by a pause, and the holder's repeated
+//! order repairs it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,32 +19,32 @@
 const TTL: u64 = 2;
 const ORDER_TIMEOUT: u64 = 1;
 
-/// What is searched.
+/// Variant of the protocol to search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Rules {
-    /// The endpoint refuses fences older than the newest it saw.
+    /// The endpoint rejects orders whose fence is older than the newest one it has seen.
     checks_fence: bool,
-    /// A holder may be paused between looking at its proof and sending the order.
+    /// A holder may pause between checking its proof and sending the order.
     pause_before_send: bool,
-    /// What a successor waits beyond the lease.
-    successor_waits: u64,
-    /// How long a holder believes in its claim.
+    /// Time that a successor waits after the lease has expired.
+    successor_wait: u64,
+    /// Time for which a holder considers its claim valid.
     holder_ttl: u64,
-    /// A holder waits for an order's end before it sends the endpoint the next one.
-    one_at_a_time: bool,
+    /// A holder waits for an order to finish before it sends the next one to the endpoint.
+    serial_orders: bool,
 }
 
-const SOUND: Rules = Rules {
+const VALID_RULES: Rules = Rules {
     checks_fence: true,
     pause_before_send: true,
-    successor_waits: ORDER_TIMEOUT,
+    successor_wait: ORDER_TIMEOUT,
     holder_ttl: TTL,
-    one_at_a_time: true,
+    serial_orders: true,
 };
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct OrderSent {
-    /// A holder has one order on its way to an endpoint at a time.
+struct InFlightOrder {
+    /// Index of the holder, which has one order in flight to an endpoint at a time.
     sender: usize,
     fence: u64,
     /// The order has no effect after this time.
@@ -54,15 +57,15 @@
     now: u64,
     log: LeaseTable,
     log_length: u64,
-    claims_made: u128,
+    claim_count: u128,
     keepers: [LeaseKeeper; 2],
-    /// Claims on their way to the log; each arrives at most once, at any time.
+    /// Claims in flight to the log. Each one arrives at most once, at any time.
     appends: Vec<Claim>,
-    /// A proof that a paused holder has looked at, and the fence it will use.
-    looked: [Option<u64>; 2],
-    orders: BTreeSet<OrderSent>,
-    newest_seen: u64,
-    newest_applied: u64,
+    /// Fence of the proof that each holder has checked but not yet used, if any.
+    checked_fence: [Option<u64>; 2],
+    orders: BTreeSet<InFlightOrder>,
+    newest_fence_seen: u64,
+    newest_fence_applied: u64,
     older_after_newer: bool,
 }
 
@@ -85,16 +88,16 @@
             now: 0,
             log: LeaseTable::default(),
             log_length: 0,
-            claims_made: 0,
+            claim_count: 0,
             keepers: [
-                keeper("p", rules.holder_ttl, rules.successor_waits),
-                keeper("q", TTL, rules.successor_waits),
+                keeper("p", rules.holder_ttl, rules.successor_wait),
+                keeper("q", TTL, rules.successor_wait),
             ],
             appends: Vec::new(),
-            looked: [None, None],
+            checked_fence: [None, None],
             orders: BTreeSet::new(),
-            newest_seen: 0,
-            newest_applied: 0,
+            newest_fence_seen: 0,
+            newest_fence_applied: 0,
             older_after_newer: false,
         }
     }
@@ -106,16 +109,16 @@
         next
     }
 
-    fn observe(&self, who: usize) -> Self {
+    fn observe(&self, holder: usize) -> Self {
         let mut next = self.clone();
-        next.keepers[who].observe(self.log.held(HALL), at(self.now));
+        next.keepers[holder].observe(self.log.held(HALL), at(self.now));
         next
     }
 
-    fn claim(&self, who: usize) -> Option<Self> {
+    fn claim(&self, holder: usize) -> Option<Self> {
         let mut next = self.clone();
-        next.claims_made += 1;
-        match next.keepers[who].step(at(self.now), Uuid::from_u128(next.claims_made)) {
+        next.claim_count += 1;
+        match next.keepers[holder].step(at(self.now), Uuid::from_u128(next.claim_count)) {
             LeaseStep::Wait => None,
             LeaseStep::Append(claim) => {
                 next.appends.push(claim);
@@ -124,7 +127,7 @@
         }
     }
 
-    fn append_arrives(&self, index: usize) -> Self {
+    fn deliver_append(&self, index: usize) -> Self {
         let mut next = self.clone();
         let claim = next.appends.remove(index);
         next.log.apply(self.log_length, &claim);
@@ -132,40 +135,40 @@
         next
     }
 
-    fn look(&self, who: usize) -> Option<Self> {
-        let proof = self.keepers[who].proof(at(self.now))?;
+    fn check_proof(&self, holder: usize) -> Option<Self> {
+        let proof = self.keepers[holder].proof(at(self.now))?;
         let mut next = self.clone();
-        next.looked[who] = Some(proof.fence);
+        next.checked_fence[holder] = Some(proof.fence);
         if !self.rules.pause_before_send {
-            return next.send(who);
+            return next.send(holder);
         }
         Some(next)
     }
 
-    fn send(&self, who: usize) -> Option<Self> {
-        let fence = self.looked[who]?;
-        if self.rules.one_at_a_time && self.orders.iter().any(|order| order.sender == who) {
+    fn send(&self, holder: usize) -> Option<Self> {
+        let fence = self.checked_fence[holder]?;
+        if self.rules.serial_orders && self.orders.iter().any(|order| order.sender == holder) {
             return None;
         }
         let mut next = self.clone();
-        next.looked[who] = None;
-        next.orders.insert(OrderSent {
-            sender: who,
+        next.checked_fence[holder] = None;
+        next.orders.insert(InFlightOrder {
+            sender: holder,
             fence,
             until: self.now + ORDER_TIMEOUT,
         });
         Some(next)
     }
 
-    fn order_arrives(&self, order: OrderSent) -> Self {
+    fn deliver_order(&self, order: InFlightOrder) -> Self {
         let mut next = self.clone();
         next.orders.remove(&order);
-        if self.rules.checks_fence && order.fence < self.newest_seen {
+        if self.rules.checks_fence && order.fence < self.newest_fence_seen {
             return next;
         }
-        next.newest_seen = self.newest_seen.max(order.fence);
-        next.older_after_newer |= order.fence < self.newest_applied;
-        next.newest_applied = self.newest_applied.max(order.fence);
+        next.newest_fence_seen = self.newest_fence_seen.max(order.fence);
+        next.older_after_newer |= order.fence < self.newest_fence_applied;
+        next.newest_fence_applied = self.newest_fence_applied.max(order.fence);
         next
     }
 }
@@ -176,17 +179,17 @@
         if self.now < TIME_MAX {
             next.push(self.tick());
         }
-        for who in 0..2 {
-            next.push(self.observe(who));
-            // Both are alike, so that `p` may be the first to claim.
-            if self.claims_made < CLAIMS_MAX && (who == 0 || self.claims_made > 0) {
-                next.extend(self.claim(who));
+        for holder in 0..2 {
+            next.push(self.observe(holder));
+            // The holders are symmetric, so only `p` needs to claim first.
+            if self.claim_count < CLAIMS_MAX && (holder == 0 || self.claim_count > 0) {
+                next.extend(self.claim(holder));
             }
-            next.extend(self.look(who));
-            next.extend(self.send(who));
+            next.extend(self.check_proof(holder));
+            next.extend(self.send(holder));
         }
-        next.extend((0..self.appends.len()).map(|index| self.append_arrives(index)));
-        next.extend(self.orders.iter().map(|order| self.order_arrives(*order)));
+        next.extend((0..self.appends.len()).map(|index| self.deliver_append(index)));
+        next.extend(self.orders.iter().map(|order| self.deliver_order(*order)));
         next.retain(|state| state != self);
         next
     }
@@ -199,7 +202,7 @@
 
 #[test]
 fn lease_fence_checked_safe() {
-    assert_safe("lease, fences checked", &Lease::start(SOUND));
+    assert_safe("lease, fences checked", &Lease::start(VALID_RULES));
 }
 
 #[test]
@@ -207,7 +210,7 @@
     let rules = Rules {
         checks_fence: false,
         pause_before_send: false,
-        ..SOUND
+        ..VALID_RULES
     };
     assert_safe("lease, fences unchecked", &Lease::start(rules));
 }
@@ -216,21 +219,21 @@
 fn lease_fence_unchecked_pause_repaired() {
     let rules = Rules {
         checks_fence: false,
-        ..SOUND
+        ..VALID_RULES
     };
-    // What fences are for: a holder that sends after a pause does harm where they are not checked.
+    // Fences guard against a holder that sends an order after a pause.
     assert_caught("lease, unchecked and paused", &Lease::start(rules));
-    // The holder's order is repeated, so that the newest one is in force in the end.
+    // The holder repeats its order, so that the newest one is in force in the end.
     let mut state = Lease::start(rules);
     for order in [1, 2, 1, 2] {
-        let sent = OrderSent {
+        let sent = InFlightOrder {
             sender: 0,
             fence: order,
             until: TIME_MAX,
         };
-        state = state.order_arrives(sent);
+        state = state.deliver_order(sent);
     }
-    assert_eq!(state.newest_applied, 2);
+    assert_eq!(state.newest_fence_applied, 2);
 }
 
 #[test]
@@ -238,23 +241,23 @@
     let unchecked = Rules {
         checks_fence: false,
         pause_before_send: false,
-        ..SOUND
+        ..VALID_RULES
     };
     let no_wait = Rules {
-        successor_waits: 0,
+        successor_wait: 0,
         ..unchecked
     };
     assert_caught("lease, successor does not wait", &Lease::start(no_wait));
-    let long_belief = Rules {
+    let long_validity = Rules {
         holder_ttl: TTL + 2,
         ..unchecked
     };
     assert_caught(
-        "lease, holder believes too long",
-        &Lease::start(long_belief),
+        "lease, holder considers its claim valid for too long",
+        &Lease::start(long_validity),
     );
     let overlapping = Rules {
-        one_at_a_time: false,
+        serial_orders: false,
         ..unchecked
     };
     assert_caught(
@@ -263,7 +266,7 @@
     );
     let no_fence = Rules {
         checks_fence: false,
-        ..SOUND
+        ..VALID_RULES
     };
     assert_caught("lease, fence not checked", &Lease::start(no_fence));
 }
--- a/tests/model/search.rs
+++ b/tests/model/search.rs
@@ -1,22 +1,24 @@
-//! Search of all reachable states, and the shortest path to a violation.
+//! Exhaustive search of the reachable states of a specification, which prints the shortest path to
+//! a violation.
 
 use std::fmt::Debug;
 use std::hash::{Hash, Hasher};
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// Guards the machine's memory: a specification with more states is to be made smaller.
+/// Maximum number of states, which limits memory use. A specification with more states has to be
+/// reduced.
 const STATES_MAX: usize = 700_000;
 
 /// A state of a specification.
 pub trait State: Clone + Eq + Hash + Debug {
-    /// All states after one step.
+    /// Returns all states that are reachable in one step.
     fn successors(&self) -> Vec<Self>;
-    /// What is wrong with this state.
+    /// Returns a description of the invariant that this state violates, if any.
     fn violation(&self) -> Option<&'static str>;
 }
 
-/// A state and the length of the shortest path to it, which its identity leaves out.
+/// A state and the length of the shortest path to it. The length is not part of its identity.
 #[derive(Clone)]
 struct Reached<S> {
     state: S,
@@ -45,24 +47,24 @@
     }
 }
 
-/// Searches all states and fails on a violation, printing the shortest path to it.
+/// Searches all states. Panics on a violation after printing the shortest path to it.
 pub fn assert_safe<S: State>(name: &str, start: &S) {
-    let first = Reached {
+    let initial = Reached {
         state: start.clone(),
         depth: 0,
     };
     let mut states = 0;
     let mut depth = 0;
-    for reached in bfs_reach(first, Reached::successors) {
+    for reached in bfs_reach(initial, Reached::successors) {
         states += 1;
         depth = depth.max(reached.depth);
         assert!(
             states <= STATES_MAX,
             "{name}: more than {STATES_MAX} states"
         );
-        if let Some(what) = reached.state.violation() {
+        if let Some(violation) = reached.state.violation() {
             print_path(start);
-            panic!("{name}: {what} after {} steps", reached.depth);
+            panic!("{name}: {violation} after {} steps", reached.depth);
         }
     }
     println!("{name}: {states} states, depth {depth}");
@@ -74,12 +76,12 @@
     }
 }
 
-/// Fails unless the search finds a violation.
+/// Panics unless the search finds a violation.
 pub fn assert_caught<S: State>(name: &str, start: &S) {
     let path = path_to_violation(start);
-    let path = path.unwrap_or_else(|| panic!("the checker misses the mutant {name}"));
-    let what = path.last().and_then(State::violation).unwrap_or("");
-    println!("{name}: caught after {} steps: {what}", path.len() - 1);
+    let path = path.unwrap_or_else(|| panic!("no violation found for mutant {name}"));
+    let violation = path.last().and_then(State::violation).unwrap_or("");
+    println!("{name}: caught after {} steps: {violation}", path.len() - 1);
 }
 
 fn path_to_violation<S: State>(start: &S) -> Option<Vec<S>> {
