--- a/src/kernel/gossip.rs
+++ b/src/kernel/gossip.rs
@@ -133,8 +133,8 @@
         targets
     }
 
-    /// Returns the successors on the ring up to the fourth that answers, without those confirmed
-    /// unreachable.
+    /// Returns the successors on the ring up to the fourth that answers, at most
+    /// [`MONITORED_PEERS_MAX`]. Peers confirmed unreachable are skipped.
     pub(super) fn monitored_window(
         &self,
         own_name: &str,
@@ -151,8 +151,8 @@
         window.take(MONITORED_PEERS_MAX)
     }
 
-    /// Returns the time for which a peer has not answered. It is measured from the start of
-    /// monitoring at the earliest, since the peer was not probed before.
+    /// Returns the time for which a peer has not answered. Time before the start of monitoring is
+    /// not counted, since the peer was not probed then.
     fn unheard_for(&self, peer: &Peer, now: Duration) -> Duration {
         let monitored_since = self.monitor.monitored_since(id_of(peer)).unwrap_or(now);
         let since = peer.last_heard.unwrap_or_default().max(monitored_since);
@@ -173,7 +173,7 @@
         answering.into_iter().chain(any)
     }
 
-    /// Returns the gossip to send to a peer, with its states of other members.
+    /// Returns the gossip about other members to send to a peer.
     pub fn gossip_for(
         &mut self,
         own: &Incarnation,
--- a/src/kernel/live_view.rs
+++ b/src/kernel/live_view.rs
@@ -110,13 +110,13 @@
         }
         let capacities = self.capacities();
         let mut ranked = roles::ranked_members(service, &capacities).into_iter();
-        let mut index = || {
+        let mut next_index = || {
             let name = ranked.next()?;
             self.members.iter().position(|member| member.name == name)
         };
         let owners = OwnerIndices {
-            first: index(),
-            second: index(),
+            first: next_index(),
+            second: next_index(),
         };
         cache.insert(service.to_owned(), owners);
         owners
--- a/src/kernel/membership.rs
+++ b/src/kernel/membership.rs
@@ -345,7 +345,7 @@
         self.peers.get(name)
     }
 
-    /// Returns whether this instance does not hear most of the peers that it should hear.
+    /// Returns whether this instance hears fewer than half of the peers that it should hear.
     #[must_use]
     pub fn is_isolated(&self, own_name: &str, own_hall: &str, now: Duration) -> bool {
         if self.is_small_site() {
--- a/tests/kernel/evacuation.rs
+++ b/tests/kernel/evacuation.rs
@@ -22,8 +22,8 @@
 
 fn orders() -> impl Strategy<Value = Vec<HallOrder>> {
     let one = (0..4_u8, any::<bool>());
-    proptest::collection::vec(one, 1..12).prop_map(|drawn| {
-        let numbered = (1..).zip(drawn);
+    proptest::collection::vec(one, 1..12).prop_map(|orders| {
+        let numbered = (1..).zip(orders);
         let order = |(next_offset, (hall, evacuate))| HallOrder {
             hall: format!("hall-{hall}"),
             evacuate,
@@ -151,7 +151,8 @@
         4 => order.prop_map(|(hall, evacuate)| Step::Order { hall, evacuate }),
         1 => Just(Step::Copy),
         1 => Just(Step::ComeBack),
-        4 => (reader.clone(), 1..4_usize).prop_map(|(reader, most)| Step::ReadNext { reader, most }),
+        4 => (reader.clone(), 1..4_usize)
+            .prop_map(|(reader, most)| Step::ReadNext { reader, most }),
         1 => reader.clone().prop_map(|reader| Step::ReadWhole { reader }),
         3 => (reader.clone(), reader).prop_map(|(from, to)| Step::Send { from, to }),
     ];
@@ -208,7 +209,10 @@
         log.record_set();
         let mut readers: Vec<ActiveEvacuations> = vec![ActiveEvacuations::default(); READERS];
         for step in steps {
-            let before: Vec<Position> = readers.iter().map(|reader| reader.logged().complete_to).collect();
+            let before: Vec<Position> = readers
+                .iter()
+                .map(|reader| reader.logged().complete_to)
+                .collect();
             match step {
                 Step::Order { hall, evacuate } => log.append(hall, evacuate),
                 Step::Copy => log.copied = log.orders.len(),
--- a/tests/kernel/freshness.rs
+++ b/tests/kernel/freshness.rs
@@ -26,6 +26,9 @@
         prop_assert!(direct <= freshness.peer_age_max());
         prop_assert!(through_relay <= freshness.peer_age_max());
         prop_assert!(through_relay + freshness.peer_poll_wait() <= freshness.store_timeout());
-        prop_assert!(freshness.peer_age_max() + freshness.peer_poll_wait() + within.mul_f64(0.25) <= within + rounding);
+        prop_assert!(
+            freshness.peer_age_max() + freshness.peer_poll_wait() + within.mul_f64(0.25)
+                <= within + rounding
+        );
     }
 }
--- a/tests/kernel/hall.rs
+++ b/tests/kernel/hall.rs
@@ -193,7 +193,7 @@
     }
 
     /// Simulates rounds for this length of time.
-    pub fn play(&mut self, length: Duration) {
+    pub fn run_for(&mut self, length: Duration) {
         let until = self.clock.now() + length;
         while self.clock.now() < until {
             self.round();
--- a/tests/kernel/losses.rs
+++ b/tests/kernel/losses.rs
@@ -30,7 +30,7 @@
 }
 
 /// Simulates rounds until no instance counts a lost one as live.
-fn play_until_removed(hall: &mut Hall, within: Duration) {
+fn run_until_removed(hall: &mut Hall, within: Duration) {
     let lost_at = hall.clock.now();
     while hall.lost_pairs_counted_as_live() > 0 {
         hall.round();
@@ -43,9 +43,9 @@
 #[test]
 fn losses_third_of_a_site_of_300_at_once_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.35));
-    play_until_removed(&mut hall, REMOVED_WITHIN);
+    run_until_removed(&mut hall, REMOVED_WITHIN);
     for _ in 0..20 {
         hall.round();
         assert_eq!(hall.lost_pairs_counted_as_live(), 0, "none may come back");
@@ -55,14 +55,14 @@
 #[test]
 fn losses_one_with_all_its_monitors_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let sends_to = |hall: &mut Hall, index| hall.targets_of(index).contains(&7);
     let monitoring: Vec<usize> = (0..300)
         .filter(|index| sends_to(&mut hall, *index))
         .collect();
     hall.lose(monitoring);
     hall.lose([7]);
-    play_until_removed(&mut hall, REMOVED_WITHIN);
+    run_until_removed(&mut hall, REMOVED_WITHIN);
 }
 
 /// A third of a site is suspended and resumes.
@@ -70,31 +70,31 @@
 fn losses_third_comes_back_counted_by_all() {
     const RECOVERED_WITHIN: Duration = Duration::from_secs(4);
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let suspended = sample(&hall, 0.35);
     hall.lose(suspended.iter().copied());
-    hall.play(Duration::from_secs(12));
+    hall.run_for(Duration::from_secs(12));
     hall.restore(suspended);
-    hall.play(RECOVERED_WITHIN);
+    hall.run_for(RECOVERED_WITHIN);
     assert_eq!(hall.live_pairs_not_counted(), 0);
-    hall.play(Duration::from_secs(10));
+    hall.run_for(Duration::from_secs(10));
     assert_eq!(hall.live_pairs_not_counted(), 0, "and stays so");
 }
 
 #[test]
 fn losses_two_thirds_of_a_site_of_300_at_once_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.65));
-    play_until_removed(&mut hall, REMOVED_WITHIN);
+    run_until_removed(&mut hall, REMOVED_WITHIN);
 }
 
 #[test]
 fn losses_whole_hall_at_once_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.lose(100..200);
-    play_until_removed(&mut hall, REMOVED_WITHIN);
+    run_until_removed(&mut hall, REMOVED_WITHIN);
 }
 
 #[test]
@@ -103,20 +103,20 @@
     /// seconds.
     const WITHIN: Duration = Duration::from_secs(90);
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let ring = hall.in_ring_order();
     hall.lose(ring.into_iter().take(200));
-    play_until_removed(&mut hall, WITHIN);
+    run_until_removed(&mut hall, WITHIN);
 }
 
 #[test]
 fn losses_one_after_the_other_each_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let all = sample(&hall, 0.35);
     for lost in all.chunks(10) {
         hall.lose(lost.iter().copied());
-        hall.play(REMOVED_WITHIN);
+        hall.run_for(REMOVED_WITHIN);
         assert_eq!(hall.lost_pairs_counted_as_live(), 0);
     }
 }
@@ -125,12 +125,12 @@
 fn losses_all_but_two_counted_by_neither() {
     const WITHIN: Duration = Duration::from_mins(4);
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let ring = hall.in_ring_order();
     let remaining = [ring[0], ring[150]];
     let lost = (0..300).filter(|index| !remaining.contains(index));
     hall.lose(lost.collect::<Vec<_>>());
-    play_until_removed(&mut hall, WITHIN);
+    run_until_removed(&mut hall, WITHIN);
     assert_eq!(hall.live_pairs_not_counted(), 0);
 }
 
@@ -138,9 +138,9 @@
 fn losses_all_but_one_counted_by_nobody() {
     const WITHIN: Duration = Duration::from_mins(4);
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.lose(1..300);
-    play_until_removed(&mut hall, WITHIN);
+    run_until_removed(&mut hall, WITHIN);
 }
 
 /// The number of members in a heartbeat stays within the bound documented for the gossip module,
@@ -149,10 +149,10 @@
 fn losses_any_share_heartbeats_stay_short_and_few() {
     for share in [0.1, 0.35, 0.65, 0.95] {
         let mut hall = Hall::of(300);
-        hall.play(WARM_UP);
+        hall.run_for(WARM_UP);
         let entries_before = hall.entries;
         hall.lose(sample(&hall, share));
-        hall.play(Duration::from_secs(40));
+        hall.run_for(Duration::from_secs(40));
         let heartbeats_max = MONITORED_PEERS_MAX + REPORTED_PROBES_MAX + DISTANT_PEERS;
         assert!(
             hall.heartbeats_max <= heartbeats_max,
@@ -168,7 +168,7 @@
         println!("{share}: {} entries in all", hall.entries - entries_before);
         let entries = hall.entries;
         let rounds = 20;
-        hall.play(PERIOD * rounds);
+        hall.run_for(PERIOD * rounds);
         let live_indices = u32::try_from(hall.live_indices().len()).expect("few");
         let entries_per_round =
             f64::from(hall.entries - entries) / f64::from(rounds * live_indices);
@@ -187,13 +187,13 @@
 fn losses_site_partitioned_reconnects() {
     const RECONNECTED_WITHIN: Duration = Duration::from_secs(10);
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.cut(|from, to| (from < 200) != (to < 200));
-    hall.play(Duration::from_secs(15));
+    hall.run_for(Duration::from_secs(15));
     assert!(!hall.counts_as_live(0, 250));
     assert!(hall.counts_as_live(0, 100));
     hall.cut(|_, _| false);
-    hall.play(RECONNECTED_WITHIN);
+    hall.run_for(RECONNECTED_WITHIN);
     assert_eq!(hall.live_pairs_not_counted(), 0);
 }
 
@@ -201,14 +201,14 @@
 #[test]
 fn losses_instance_that_starts_later_counts_none() {
     let mut hall = Hall::of(60);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.35));
-    hall.play(Duration::from_mins(15));
+    hall.run_for(Duration::from_mins(15));
     let restarted = hall.live_indices()[0];
     hall.restart(restarted);
-    hall.play(Duration::from_secs(1));
+    hall.run_for(Duration::from_secs(1));
     assert_eq!(hall.lost_pairs_counted_as_live(), 0);
-    hall.play(Duration::from_secs(10));
+    hall.run_for(Duration::from_secs(10));
     assert_eq!(hall.lost_pairs_counted_as_live(), 0);
     assert_eq!(hall.live_pairs_not_counted(), 0);
 }
@@ -218,10 +218,10 @@
 #[test]
 fn losses_started_again_and_lost_again_counted_by_nobody() {
     let mut hall = Hall::of(300);
-    hall.play(WARM_UP);
+    hall.run_for(WARM_UP);
     let lost = sample(&hall, 0.35);
     hall.lose(lost.iter().copied());
-    hall.play(Duration::from_secs(12));
+    hall.run_for(Duration::from_secs(12));
     hall.restore(lost.iter().copied());
     for index in &lost {
         hall.restart(*index);
@@ -229,8 +229,8 @@
     for index in 0..300 {
         hall.read_list(index);
     }
-    hall.play(Duration::from_secs(3));
+    hall.run_for(Duration::from_secs(3));
     assert_eq!(hall.live_pairs_not_counted(), 0);
     hall.lose(lost);
-    play_until_removed(&mut hall, REMOVED_WITHIN);
+    run_until_removed(&mut hall, REMOVED_WITHIN);
 }
--- a/tests/kernel/suspects.rs
+++ b/tests/kernel/suspects.rs
@@ -358,7 +358,7 @@
 fn known_by_all_after(instances: usize) -> Duration {
     let id = content("x");
     let mut hall = Hall::of(instances);
-    hall.play(SECOND);
+    hall.run_for(SECOND);
     let mut suspects: Vec<Suspects> = (0..instances).map(|_| Suspects::default()).collect();
     let seen_at = hall.clock.now();
     for endpoint in [1, 2, 3] {
