--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -66,7 +66,7 @@
         return HashMap::new();
     }
     let members = gateway.members.lock();
-    let counted = members.counted(now);
+    let counted = members.recently_reachable(now);
     let other_instances: Vec<&str> = counted
         .map(|peer| peer.status.incarnation.name.as_str())
         .collect();
--- a/src/kernel/config.rs
+++ b/src/kernel/config.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use super::lease::{Claim, LeaseFold};
+use super::lease::{Claim, LeaseTable};
 use super::object::{InvalidField, Object, ObjectKey, ObjectKind};
 
 /// Maximum distance in offsets between a publish and its base; also the retention of publish ids
@@ -139,7 +139,7 @@
     pub decided: BTreeMap<Uuid, PublishDecision>,
     /// Lease claims in force.
     #[serde(default)]
-    pub leases: LeaseFold,
+    pub leases: LeaseTable,
 }
 
 /// A snapshot of the configuration state.
--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 pub use super::endpoint_entry::{EndpointEntry, ListUpdate, start_id};
-use super::evacuation::{EvacuatedHalls, HallChange, HallOrder, HallsInForce};
+use super::evacuation::{ActiveEvacuations, EvacuatedHalls, HallChange, HallOrder};
 use super::suspects::short_hash;
 
 /// How long after an outage of the list a missing entry may reappear; the platform specifies two
@@ -109,7 +109,7 @@
     /// Newest incarnation of each listed id. Entries are removed together with their endpoint.
     newest_incarnation: BTreeMap<String, String>,
     /// Evacuated halls, whose endpoints get no new work.
-    halls: HallsInForce,
+    halls: ActiveEvacuations,
     /// When the list last recovered from an outage.
     list_recovered_at: Option<Duration>,
     /// Incremented on every change.
@@ -168,7 +168,7 @@
 
     /// Applies one order to evacuate a hall or to take it back, and returns the changes.
     pub fn apply_hall_order(&mut self, order: &HallOrder, now: Duration) -> Vec<HallChange> {
-        let changes = self.halls.order(order, now);
+        let changes = self.halls.apply_order(order, now);
         self.version += u64::from(!changes.is_empty());
         changes
     }
@@ -180,14 +180,14 @@
         evacuated: &EvacuatedHalls,
         now: Duration,
     ) -> Vec<HallChange> {
-        let changes = self.halls.take(evacuated, now);
+        let changes = self.halls.merge(evacuated, now);
         self.version += u64::from(!changes.is_empty());
         changes
     }
 
     /// Advances the state of the halls to the current time, and returns the changes.
     pub fn advance_halls(&mut self, now: Duration) -> Vec<HallChange> {
-        let changes = self.halls.settle(now);
+        let changes = self.halls.refresh(now);
         self.version += u64::from(!changes.is_empty());
         changes
     }
@@ -195,7 +195,7 @@
     /// Returns the evacuated halls in the form that is sent to other members.
     #[must_use]
     pub fn evacuated_halls(&self) -> &EvacuatedHalls {
-        self.halls.told()
+        self.halls.logged()
     }
 
     /// Treats the endpoints of a hall as cold for the time that their services specify, since they
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -1,6 +1,6 @@
-//! Decisions only: no sockets, no threads, no clock reads. Time and randomness are passed in.
+//! Decision logic without sockets, threads or clock reads: time and randomness are passed in.
 //!
-//! The same functions run under the daemon, in unit tests with a manual clock and in the model checker.
+//! The daemon, unit tests with a manual clock and the model checker all run these functions.
 
 pub mod admission_queue;
 pub mod attempt;
@@ -18,6 +18,7 @@
 mod engine_run;
 pub mod evacuation;
 pub mod event_split;
+pub mod exclusive_task;
 pub mod fairness;
 pub mod fleet;
 pub mod freshness;
@@ -29,11 +30,12 @@
 pub mod length_estimates;
 pub mod limit;
 pub mod live_view;
+pub mod member_states;
 pub mod membership;
 pub mod object;
-pub mod one_at_a_time;
 pub mod owner_contact;
 pub mod pace;
+pub mod peer_monitor;
 pub mod permits;
 pub mod placement;
 pub mod policy;
@@ -44,10 +46,8 @@
 pub mod route;
 pub mod rules;
 pub mod sharers;
-pub mod standings;
 pub mod store_contact;
 pub mod store_sources;
 pub mod stream;
 pub mod suspects;
 pub mod ticket;
-pub mod watch;
--- a/tests/kernel/gateway_decisions.rs
+++ b/tests/kernel/gateway_decisions.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use larkwick::kernel::event_split::EventSplitter;
+use larkwick::kernel::exclusive_task::ExclusiveTask;
 use larkwick::kernel::health::EndpointHealth;
 use larkwick::kernel::live_view::{LiveMember, LiveView};
-use larkwick::kernel::one_at_a_time::OneAtATime;
 use larkwick::kernel::retry::RetryAllowance;
 use larkwick::kernel::roles::{self, MemberCapacity, ReaderPlan};
 use proptest::prelude::*;
@@ -93,11 +93,11 @@
 /// that has a newer configuration starts another transfer.
 #[test]
 fn begin_refused_while_another_transfer_runs() {
-    let transfers = OneAtATime::default();
-    let first = transfers.begin().expect("no transfer is running");
-    assert!(transfers.begin().is_none());
+    let transfers = ExclusiveTask::default();
+    let first = transfers.try_start().expect("no transfer is running");
+    assert!(transfers.try_start().is_none());
     drop(first);
-    assert!(transfers.begin().is_some());
+    assert!(transfers.try_start().is_some());
 }
 
 /// Generates members as pairs: whether the member is live, and whether it has many cores.
