--- a/src/kernel/stream.rs
+++ b/src/kernel/stream.rs
@@ -33,7 +33,7 @@
 
 /// The text is not a valid event id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("invalid event id; send the id of the last received event unchanged")]
+#[error("not an event id; send the id of the last event as it came")]
 pub struct InvalidEventId;
 
 impl fmt::Display for GenerationId {
