--- a/src/kernel/admission_queue.rs
+++ b/src/kernel/admission_queue.rs
@@ -139,9 +139,9 @@
         self.waiting.is_empty()
     }
 
-    /// Requests admission. A generation is never placed ahead of waiting ones of the same or a
-    /// higher priority. It is refused at once if the queue ahead of it moves too slowly to place it
-    /// by its deadline, since waiting would only delay its caller.
+    /// Requests admission. A generation is placed at once only if none of the same or a higher
+    /// priority is waiting. It is refused at once if the queue ahead of it moves too slowly to place
+    /// it by its deadline, since waiting would only delay its caller.
     pub fn request_admission(
         &mut self,
         ledger: &mut EngineLedger,
--- a/src/kernel/engine_ledger.rs
+++ b/src/kernel/engine_ledger.rs
@@ -1,10 +1,10 @@
 //! Ledger kept by the owner of a service's engines: which generations run on which engine, and how
 //! much memory they are predicted to need.
 //!
-//! Entry instances report all their generations several times a second, so a new owner has the
-//! complete state after one round of reports. Memory usage is cached per engine and recomputed when
-//! one of its generations changes: with 1,500 generations, recomputing it for every placement and
-//! every query took the owner a quarter of a core.
+//! Entry instances, which serve the callers, report all their generations several times a second,
+//! so a new owner has the complete state after one round of reports. Memory usage is cached per
+//! engine and recomputed when one of its generations changes: with 1,500 generations, recomputing
+//! it for every placement and every query took the owner a quarter of a core.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -80,7 +80,7 @@
     /// The engine as listed; `None` if it is no longer listed but generations are still reported to
     /// run on it.
     pub(super) listed: Option<ListedEngine>,
-    refused_until: Duration,
+    unavailable_until: Duration,
     /// Added to its fill when engines are compared; at most [`TIE_BREAKER_MAX`].
     tie_breaker: f64,
     /// Generations that run on it.
@@ -123,6 +123,7 @@
     /// All generations. Each is in the `runs` of its engine and of its entry instance, and in the
     /// `incoming` of the target engine during a move.
     pub(super) runs: HashMap<String, Run>,
+    /// Entry instances by name.
     entries: BTreeMap<String, EntryInstance>,
     /// Generations that no report has confirmed.
     unconfirmed: BTreeSet<String>,
@@ -138,18 +139,18 @@
 
 impl Engine {
     pub(super) fn is_leaving(&self) -> bool {
-        self.listed.as_ref().is_none_or(|entry| entry.leaving)
+        self.listed.as_ref().is_none_or(|listed| listed.leaving)
     }
 
     /// Returns whether the engine accepts new generations, including moved ones.
     pub(super) fn is_open(&self) -> bool {
-        let entry = self.listed.as_ref();
-        entry.is_some_and(|entry| !entry.leaving && !entry.closed)
+        let listed = self.listed.as_ref();
+        listed.is_some_and(|listed| !listed.leaving && !listed.closed)
     }
 
     /// Returns whether the pause after a refusal or a failed connection is over.
     pub(super) fn is_available(&self, now: Duration) -> bool {
-        now >= self.refused_until
+        now >= self.unavailable_until
     }
 
     /// Returns the score by which engines are compared: the given fill plus the tie-breaker.
@@ -165,12 +166,12 @@
     /// or the fill would exceed `fill_max`.
     pub(super) fn fill_with_run(
         &self,
-        entry: &ListedEngine,
+        listed: &ListedEngine,
         run: &ReportedRun,
         fill_max: f64,
     ) -> Option<f64> {
-        let fill = (self.usage.tokens + run.predicted_tokens()) / f64::from(entry.memory_tokens);
-        (self.usage.places < entry.slots && fill <= fill_max).then_some(fill)
+        let fill = (self.usage.tokens + run.predicted_tokens()) / f64::from(listed.memory_tokens);
+        (self.usage.places < listed.slots && fill <= fill_max).then_some(fill)
     }
 }
 
@@ -195,16 +196,16 @@
     }
 
     /// Replaces the set of listed engines.
-    pub fn set_engines(&mut self, entries: Vec<ListedEngine>) {
-        let mut listed: BTreeSet<String> = BTreeSet::new();
-        for entry in entries {
-            listed.insert(entry.id.clone());
-            let engine = self.engines.entry(entry.id.clone()).or_default();
-            engine.tie_breaker = tie_breaker(&self.own_name, &entry.id);
-            engine.listed = Some(entry);
+    pub fn set_engines(&mut self, listed_engines: Vec<ListedEngine>) {
+        let mut listed_ids: BTreeSet<String> = BTreeSet::new();
+        for listed in listed_engines {
+            listed_ids.insert(listed.id.clone());
+            let engine = self.engines.entry(listed.id.clone()).or_default();
+            engine.tie_breaker = tie_breaker(&self.own_name, &listed.id);
+            engine.listed = Some(listed);
         }
         self.engines.retain(|id, engine| {
-            if !listed.contains(id) {
+            if !listed_ids.contains(id) {
                 engine.listed = None;
             }
             engine.listed.is_some() || !engine.is_empty()
@@ -279,9 +280,9 @@
     }
 
     /// Updates a generation and recomputes the usage of the engines involved.
-    pub(super) fn update_run(&mut self, name: &str, update_run: impl FnOnce(&mut Run)) {
+    pub(super) fn update_run(&mut self, name: &str, update: impl FnOnce(&mut Run)) {
         if let Some(mut run) = self.remove(name) {
-            update_run(&mut run);
+            update(&mut run);
             self.insert(name, run);
         }
     }
@@ -336,8 +337,8 @@
     #[must_use]
     pub fn is_limited(&self, engine: &str) -> bool {
         let engine = self.engines.get(engine);
-        let entry = engine.and_then(|engine| engine.listed.as_ref());
-        entry.is_some_and(|entry| entry.limit.is_some())
+        let listed = engine.and_then(|engine| engine.listed.as_ref());
+        listed.is_some_and(|listed| listed.limit.is_some())
     }
 
     /// Starts permit accounting for engines that announce a rate limit, and drops it for all
@@ -345,8 +346,8 @@
     pub fn sync_permits(&mut self, now: Duration) {
         let engines = self.engines.values();
         let limited = engines.filter_map(|engine| engine.listed.as_ref());
-        let limited = limited.filter(|entry| entry.limit.is_some());
-        let limited: BTreeSet<&str> = limited.map(|entry| entry.id.as_str()).collect();
+        let limited = limited.filter(|listed| listed.limit.is_some());
+        let limited: BTreeSet<&str> = limited.map(|listed| listed.id.as_str()).collect();
         self.permits.tidy(|engine| limited.contains(engine));
         for engine in limited {
             self.permits.begin(engine, now);
@@ -483,14 +484,14 @@
     /// Records that an engine refused a generation.
     pub fn record_refusal(&mut self, endpoint: &str, now: Duration) {
         if let Some(engine) = self.engines.get_mut(endpoint) {
-            engine.refused_until = now + REFUSED_BACKOFF;
+            engine.unavailable_until = now + REFUSED_BACKOFF;
         }
     }
 
     /// Records that an engine's address refuses connections.
     pub fn record_unreachable(&mut self, endpoint: &str, now: Duration) {
         if let Some(engine) = self.engines.get_mut(endpoint) {
-            engine.refused_until = now + UNREACHABLE_BACKOFF;
+            engine.unavailable_until = now + UNREACHABLE_BACKOFF;
         }
     }
 
@@ -552,13 +553,13 @@
     #[must_use]
     pub fn summary(&self) -> BTreeMap<String, EngineSummary> {
         let engines = self.engines.iter().filter_map(|(id, engine)| {
-            let entry = engine.listed.as_ref()?;
+            let listed = engine.listed.as_ref()?;
             let summary = EngineSummary {
                 places: engine.usage.places,
                 predicted_tokens: engine.usage.tokens,
-                memory_tokens: entry.memory_tokens,
-                leaving: entry.leaving,
-                closed: entry.closed,
+                memory_tokens: listed.memory_tokens,
+                leaving: listed.leaving,
+                closed: listed.closed,
             };
             Some((id.clone(), summary))
         });
--- a/src/kernel/engine_moves.rs
+++ b/src/kernel/engine_moves.rs
@@ -69,22 +69,22 @@
             .values()
             .filter(|engine| engine.is_available(now));
         let fits = usable.filter_map(|engine| {
-            let entry = engine.listed.as_ref()?;
-            if entry.id == source.id || !engine.is_open() || busy.contains(&entry.id) {
+            let listed = engine.listed.as_ref()?;
+            if listed.id == source.id || !engine.is_open() || busy.contains(&listed.id) {
                 return None;
             }
-            if !self.can_accept_request(entry, &run.entry, now)
-                || self.is_cooling_down_for(&run.entry, &entry.id)
+            if !self.can_accept_request(listed, &run.entry, now)
+                || self.is_cooling_down_for(&run.entry, &listed.id)
             {
                 return None;
             }
-            let fill = engine.fill_with_run(entry, &run.reported, MOVED_RUN_FILL_MAX)?;
-            let hall_penalty = if entry.hall == source.hall {
+            let fill = engine.fill_with_run(listed, &run.reported, MOVED_RUN_FILL_MAX)?;
+            let hall_penalty = if listed.hall == source.hall {
                 0.0
             } else {
                 CROSS_HALL_PENALTY
             };
-            Some((engine.comparison_score(fill) + hall_penalty, entry))
+            Some((engine.comparison_score(fill) + hall_penalty, listed))
         });
         let best = fits.min_by(|left, right| left.0.total_cmp(&right.0));
         best.map(|(_, engine)| engine.id.clone())
--- a/src/kernel/engine_run.rs
+++ b/src/kernel/engine_run.rs
@@ -143,8 +143,8 @@
         f64::from(self.demand.prompt_tokens) + f64::from(self.made_tokens)
     }
 
-    /// Returns the expected number of tokens still to be generated. Beyond the hint it is a quarter
-    /// of those generated so far, because hints are often too short.
+    /// Returns the expected number of tokens still to be generated, at most up to the maximum. It is
+    /// at least a quarter of those generated so far, because hints are often too short.
     fn remaining_tokens(&self) -> f64 {
         let made = f64::from(self.made_tokens);
         let max_tokens = f64::from(self.demand.made_max_tokens);
--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -149,8 +149,8 @@
             entries.any(|entry| entry.listed_id == *listed_id)
                 || update.unreadable.contains(listed_id)
         };
-        let starts = self.newest_incarnation.iter();
-        let vanished = starts.filter(|(listed_id, id)| {
+        let incarnations = self.newest_incarnation.iter();
+        let vanished = incarnations.filter(|(listed_id, id)| {
             let known = self.endpoints.get(*id);
             known.is_some_and(|known| known.listed) && !is_listed(listed_id)
         });
--- a/tests/kernel/engine_ledger.rs
+++ b/tests/kernel/engine_ledger.rs
@@ -329,7 +329,7 @@
         .filter_map(|number| place(&mut ledger, &number.to_string()))
         .collect();
     assert!(first.iter().all(|engine| engine == "other"), "{first:?}");
-    let granted = place(&mut ledger, "no room elsewhere");
+    let granted = place(&mut ledger, "no capacity elsewhere");
     assert_eq!(granted.as_deref(), Some("asked"));
     // The entry instance no longer reports, so its cooldowns no longer count.
     let later = NOW + Duration::from_secs(3);
--- a/tests/kernel/fleet.rs
+++ b/tests/kernel/fleet.rs
@@ -194,11 +194,11 @@
     assert!(!fleet.is_leaving("e1"), "running work continues");
     assert_eq!(fleet.ready_endpoints("s").count(), 2);
     // A complete list with the same unreadable record changes nothing.
-    let whole = ListUpdate {
+    let full_list = ListUpdate {
         entries: vec![entry("e0", false), entry("e2", false)],
         ..update
     };
-    assert!(fleet.apply_full_list(whole, NOW).is_empty());
+    assert!(fleet.apply_full_list(full_list, NOW).is_empty());
     assert!(!fleet.is_leaving("e1"));
     apply(&mut fleet, vec![entry("e1", false)], &[], NOW);
     assert!(fleet.can_accept_work("e1"));
@@ -236,11 +236,11 @@
         ..ListUpdate::default()
     };
     fleet.apply_update(unreadable, NOW);
-    let whole = ListUpdate {
+    let full_list = ListUpdate {
         entries: vec![entry("e0", false), entry("e2", false)],
         ..ListUpdate::default()
     };
-    let changes = fleet.apply_full_list(whole, NOW);
+    let changes = fleet.apply_full_list(full_list, NOW);
     assert_eq!(changes, [FleetChange::Left(entry("e1", false))]);
 }
 
