--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -14,7 +14,7 @@
 use super::permits::PermitDesk;
 use crate::kernel::clock::{Clock, millis};
 use crate::kernel::fleet::{Fleet, FleetChange};
-use crate::kernel::limit::LimitWord;
+use crate::kernel::limit::LimitSignal;
 use crate::kernel::rest::Rests;
 
 /// What endpoints say of themselves, on its way to whom it concerns.
@@ -55,13 +55,13 @@
         if let Some(rest) = head.word.rest {
             self.told_rest(endpoint, rest);
         }
-        if head.word.limit != LimitWord::Unsaid || head.request_id.is_some() {
+        if head.word.limit != LimitSignal::Absent || head.request_id.is_some() {
             // What shows no sign of the endpoint's own answers does not end a limit.
             self.told_limit(endpoint, head.word.limit, sent_at);
         }
     }
 
-    fn told_limit(&self, endpoint: &str, word: LimitWord, sent_at: Duration) {
+    fn told_limit(&self, endpoint: &str, word: LimitSignal, sent_at: Duration) {
         if self.permits.take_word(endpoint, word, sent_at) {
             self.tell_limits();
         }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -13,7 +13,7 @@
 use super::{catch_up, coordinator, heartbeat, moves};
 use crate::kernel::clock::millis;
 use crate::kernel::engine_ledger::ReportedRun;
-use crate::kernel::limit::LimitNews;
+use crate::kernel::limit::LimitUpdate;
 use crate::kernel::permits::PermitDecision;
 use crate::peer::convert::{self, BadField};
 use crate::peer::generated as wire;
@@ -137,10 +137,10 @@
     ) -> Result<Response<wire::PermitReply>, Status> {
         self.gateway.tally.count(Work::Permit);
         let request = request.into_inner();
-        let told = LimitNews {
+        let told = LimitUpdate {
             endpoint: request.endpoint,
             per_s: Some(request.limit_per_s),
-            ago: ms(request.named_ms_ago),
+            age: ms(request.named_ms_ago),
         };
         let gateway = &self.gateway;
         let answer = gateway.give_permit(&request.service, &told, &request.asker);
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -14,7 +14,7 @@
 use super::ownership::{acts_as_owner, owner_address, owner_to_ask};
 use super::site_store::Subject;
 use crate::kernel::clock::{Clock, millis};
-use crate::kernel::limit::{LimitChange, LimitNews, LimitWord, Limits};
+use crate::kernel::limit::{EndpointLimits, LimitChange, LimitSignal, LimitUpdate};
 use crate::kernel::permits::{
     IssuerShare, LimitShare, PERMIT_VALID_FOR, PermitDecision, PermitIssuer, RequestedPermits,
 };
@@ -34,7 +34,7 @@
 pub(crate) struct PermitDesk {
     clock: Arc<dyn Clock>,
     /// What endpoints take from all instances together.
-    limits: Mutex<Limits>,
+    limits: Mutex<EndpointLimits>,
     /// What is given here for plain endpoints; the ledgers give for engines.
     given: Mutex<PermitIssuer>,
     /// What was asked for here.
@@ -69,16 +69,19 @@
     }
 
     /// Takes what an answer says to a request that was sent then; gives whether members are to hear of it.
-    pub(super) fn take_word(&self, endpoint: &str, word: LimitWord, sent_at: Duration) -> bool {
+    pub(super) fn take_word(&self, endpoint: &str, word: LimitSignal, sent_at: Duration) -> bool {
         let now = self.clock.now();
-        let change = self.limits.lock().take(endpoint, word, sent_at, now);
+        let change = self
+            .limits
+            .lock()
+            .record_signal(endpoint, word, sent_at, now);
         self.tell(endpoint, change, "answer")
     }
 
     /// Takes what a member tells; gives whether other members are to hear of it.
-    pub(super) fn take_news(&self, news: &LimitNews) -> bool {
+    pub(super) fn take_news(&self, news: &LimitUpdate) -> bool {
         let now = self.clock.now();
-        let change = self.limits.lock().take_news(news, now);
+        let change = self.limits.lock().apply_update(news, now);
         self.tell(&news.endpoint, change, "member")
     }
 
@@ -101,8 +104,8 @@
     }
 
     /// Limits that began or ended of late.
-    pub(super) fn news(&self, first: usize) -> Vec<LimitNews> {
-        self.limits.lock().news(first, self.clock.now())
+    pub(super) fn news(&self, first: usize) -> Vec<LimitUpdate> {
+        self.limits.lock().recent_updates(first, self.clock.now())
     }
 
     /// Requests a second that an endpoint takes from all instances together; nothing where it names no limit.
@@ -117,7 +120,7 @@
 
     /// Requests a second, by start of endpoint that names a limit.
     pub(super) fn limits(&self) -> BTreeMap<String, f64> {
-        self.limits.lock().all().collect()
+        self.limits.lock().announced().collect()
     }
 
     /// Rises with every change of a limit.
@@ -168,7 +171,7 @@
     /// Forgets what is over.
     pub(super) fn tidy(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
-        self.limits.lock().tidy(is_known, now);
+        self.limits.lock().prune(is_known, now);
         self.asked.lock().prune(now);
         let limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
         self.given.lock().prune(limited);
@@ -194,7 +197,7 @@
     pub(super) async fn permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
         let desk = &self.words.permits;
         let asked_at = self.now();
-        let told = desk.limits.lock().told(endpoint, asked_at);
+        let told = desk.limits.lock().update_for(endpoint, asked_at);
         let Some(told) = told else {
             return Some(permit(desk, endpoint, None));
         };
@@ -240,7 +243,7 @@
     }
 
     /// Asks the giver for a permit. The time in an answer is on this instance's clock.
-    async fn ask_for_permit(&self, service: &str, told: LimitNews) -> PermitDecision {
+    async fn ask_for_permit(&self, service: &str, told: LimitUpdate) -> PermitDecision {
         let own_name = &self.incarnation.name;
         let Some(address) = owner_to_ask(self, &self.giver_key(service, &told.endpoint)) else {
             return self.give_permit(service, &told, own_name);
@@ -250,7 +253,7 @@
             endpoint: told.endpoint.clone(),
             asker: own_name.clone(),
             limit_per_s: told.per_s.unwrap_or_default(),
-            named_ms_ago: millis(told.ago),
+            named_ms_ago: millis(told.age),
         };
         let called = match self.peers.site_at(&address) {
             Ok(mut client) => within(ASK_TIMEOUT, client.permit(request)).await,
@@ -276,7 +279,7 @@
     pub(super) fn give_permit(
         &self,
         service: &str,
-        told: &LimitNews,
+        told: &LimitUpdate,
         asker: &str,
     ) -> PermitDecision {
         let desk = &self.words.permits;
@@ -341,10 +344,10 @@
         for limit in told {
             let endpoint = self.fleet.lock().id_of(limit.endpoint);
             let Some(endpoint) = endpoint else { continue };
-            let news = LimitNews {
+            let news = LimitUpdate {
                 endpoint,
                 per_s: (!limit.ended).then_some(limit.per_s),
-                ago: ms(limit.ms_ago),
+                age: ms(limit.ms_ago),
             };
             is_news |= self.words.permits.take_news(&news);
         }
@@ -360,7 +363,7 @@
             endpoint: crate::kernel::suspects::short_hash(&news.endpoint),
             per_s: news.per_s.unwrap_or_default(),
             ended: news.per_s.is_none(),
-            ms_ago: millis(news.ago),
+            ms_ago: millis(news.age),
         });
         told.collect()
     }
--- a/src/kernel/endpoint_word.rs
+++ b/src/kernel/endpoint_word.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::limit::LimitWord;
+use super::limit::LimitSignal;
 
 /// What one start of an endpoint says of itself. It holds for that start whatever was asked and whoever asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -12,5 +12,5 @@
     /// For how long it asks the instance that it turned away to send it nothing.
     pub rest: Option<Duration>,
     /// How many requests it takes from all instances together, for as long as it says so.
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
 }
--- a/src/kernel/limit.rs
+++ b/src/kernel/limit.rs
@@ -1,163 +1,170 @@
-//! How many requests a second endpoints take from all instances together, as they name it in their answers.
+//! The request rate that each endpoint accepts from all instances together, as announced in its
+//! answers.
 //!
-//! An endpoint in need names its limit in each answer, and an answer without one ends it. Answers cross: one that was asked for before the need may come
-//! long after it. So a word that loosens a limit counts only where its request was sent after the last word that held it had come.
+//! An overloaded endpoint announces its limit in every answer, and an answer without one ends the
+//! limit. Answers may arrive out of order: an answer to a request sent before the overload may
+//! arrive long after it began. A signal that raises or ends a limit therefore counts only if its
+//! request was sent after the last signal that confirmed the limit had arrived.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The beginning and the end of a limit are passed on for this long by each instance: several times the 3 and 4 s in which all of 300 and of 2,300 members
-/// know what is told so (simulated, `news_site_of_*` in the tests).
-const PASSED_ON: Duration = Duration::from_secs(15);
-/// Limits named in one heartbeat, some 30 bytes each. Each heartbeat names others.
-pub const LIMIT_NEWS_MAX: usize = 8;
+/// How long each instance gossips the start and the end of a limit. Several times the 3 and 4 s
+/// after which all of 300 and of 2,300 members know of an update (simulated, see the
+/// `news_site_of_*` tests).
+const GOSSIP_FOR: Duration = Duration::from_secs(15);
+/// Maximum number of limits in one heartbeat, about 30 bytes each. Consecutive heartbeats carry
+/// different ones.
+pub const LIMIT_UPDATES_MAX: usize = 8;
 
-/// What an answer says of the limit of the endpoint that gave it.
+/// The rate limit that one answer announces for its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum LimitWord {
-    /// Nothing: the endpoint is not in need.
+pub enum LimitSignal {
+    /// No limit: the endpoint is not overloaded.
     #[default]
-    Unsaid,
-    /// Something that is no number of requests: what was known holds.
-    Unreadable,
-    /// Requests a second from all instances together; never negative, never infinite.
+    Absent,
+    /// Not a valid rate; what was known before still holds.
+    Invalid,
+    /// Requests per second from all instances together; finite and never negative.
     PerS(f64),
 }
 
-/// What a word has changed.
+/// How a signal or an update changed a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitChange {
-    /// A limit where there was none.
+    /// The endpoint had no limit before.
     Began(f64),
-    /// Another value.
+    /// The limit has a new value.
     Changed(f64),
-    /// The endpoint takes as much as before.
+    /// The endpoint has no limit any more.
     Ended,
 }
 
-/// A limit that began or ended, as members tell each other.
+/// The start or end of a limit, as gossiped between members.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LimitNews {
-    /// The start of the endpoint.
+pub struct LimitUpdate {
+    /// The endpoint incarnation.
     pub endpoint: String,
-    /// Requests a second; nothing where it ended.
+    /// Requests per second; `None` if the limit ended.
     pub per_s: Option<f64>,
-    /// How long ago an answer named it; where it ended, how long ago the request was sent whose answer did not.
-    pub ago: Duration,
+    /// Time since an answer announced the limit. If the limit ended: time since the request was
+    /// sent whose answer announced none.
+    pub age: Duration,
 }
 
-/// The limit of one start of an endpoint.
+/// The limit of one endpoint incarnation.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Limit {
+struct ActiveLimit {
     per_s: f64,
-    /// Since when it has been known here.
+    /// When this instance learned of the limit.
     known_at: Duration,
-    /// When an answer with any limit came last.
-    named_at: Duration,
-    /// When an answer with this limit or a lower one came last; never after `named_at`.
-    held_at: Duration,
+    /// When an answer with any limit last arrived.
+    announced_at: Duration,
+    /// When an answer with this limit or a lower one last arrived; never after `announced_at`.
+    confirmed_at: Duration,
 }
 
-/// A limit that ended.
+/// A limit that has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Ended {
-    /// When the request was sent whose answer named none.
+struct EndedLimit {
+    /// When the request was sent whose answer announced no limit.
     sent_at: Duration,
-    /// Since when it has been known here.
+    /// When this instance learned of the end.
     known_at: Duration,
 }
 
-/// The limits that hold, by start of endpoint. One entry for each that is known, at most.
+/// The limits in force, by endpoint incarnation. At most one entry for each known endpoint.
 #[derive(Debug, Default)]
-pub struct Limits {
-    held: BTreeMap<String, Limit>,
-    /// Those that ended of late; none of them is in `held`.
-    ended: BTreeMap<String, Ended>,
-    /// Rises with every change.
+pub struct EndpointLimits {
+    active: BTreeMap<String, ActiveLimit>,
+    /// Limits that ended recently; none of them is in `active`.
+    ended: BTreeMap<String, EndedLimit>,
+    /// Incremented on every change.
     version: u64,
 }
 
-impl Limits {
-    /// Takes the word of an answer that came now to a request sent then.
-    pub fn take(
+impl EndpointLimits {
+    /// Records the signal of an answer that arrived `now` to a request sent at `sent_at`.
+    pub fn record_signal(
         &mut self,
         endpoint: &str,
-        word: LimitWord,
+        signal: LimitSignal,
         sent_at: Duration,
         now: Duration,
     ) -> Option<LimitChange> {
-        match word {
-            LimitWord::Unreadable => None,
-            LimitWord::Unsaid => self.end(endpoint, sent_at, now),
-            LimitWord::PerS(per_s) => self.name(endpoint, per_s, sent_at, now),
+        match signal {
+            LimitSignal::Invalid => None,
+            LimitSignal::Absent => self.clear(endpoint, sent_at, now),
+            LimitSignal::PerS(per_s) => self.set_from_answer(endpoint, per_s, sent_at, now),
         }
     }
 
-    /// Takes what a member tells. Its answers and those that came here may have crossed: what is older than what is known changes nothing.
-    pub fn take_news(&mut self, news: &LimitNews, now: Duration) -> Option<LimitChange> {
-        let at = now.saturating_sub(news.ago);
-        let Some(per_s) = news.per_s else {
-            return self.end(&news.endpoint, at, now);
+    /// Applies an update from another member. Its answers and those received here may have arrived
+    /// out of order, so an update older than the known state changes nothing.
+    pub fn apply_update(&mut self, update: &LimitUpdate, now: Duration) -> Option<LimitChange> {
+        let at = now.saturating_sub(update.age);
+        let Some(per_s) = update.per_s else {
+            return self.clear(&update.endpoint, at, now);
         };
-        let ended = self.ended.get(&news.endpoint);
-        let known = self.held.get(&news.endpoint);
-        let is_old = ended.is_some_and(|ended| at <= ended.sent_at)
-            || known.is_some_and(|limit| at <= limit.named_at);
-        if is_old {
+        let ended = self.ended.get(&update.endpoint);
+        let known = self.active.get(&update.endpoint);
+        let is_outdated = ended.is_some_and(|ended| at <= ended.sent_at)
+            || known.is_some_and(|limit| at <= limit.announced_at);
+        if is_outdated {
             return None;
         }
-        self.put(&news.endpoint, per_s, at, now)
+        self.set(&update.endpoint, per_s, at, now)
     }
 
-    /// A limit that holds from then on, where it is newer than what is known.
-    fn put(
+    /// Sets a limit and discards a recorded end.
+    fn set(
         &mut self,
         endpoint: &str,
         per_s: f64,
-        named_at: Duration,
+        announced_at: Duration,
         now: Duration,
     ) -> Option<LimitChange> {
         self.ended.remove(endpoint);
-        let before = self.held.get(endpoint).copied();
-        let limit = Limit {
+        let previous = self.active.get(endpoint).copied();
+        let limit = ActiveLimit {
             per_s,
-            known_at: before.map_or(now, |before| before.known_at),
-            named_at,
-            held_at: named_at,
+            known_at: previous.map_or(now, |previous| previous.known_at),
+            announced_at,
+            confirmed_at: announced_at,
         };
-        self.held.insert(endpoint.to_owned(), limit);
-        let change = match before {
+        self.active.insert(endpoint.to_owned(), limit);
+        let change = match previous {
             None => Some(LimitChange::Began(per_s)),
-            Some(before) if before.per_s.to_bits() == per_s.to_bits() => None,
+            Some(previous) if previous.per_s.to_bits() == per_s.to_bits() => None,
             Some(_) => Some(LimitChange::Changed(per_s)),
         };
         self.version += u64::from(change.is_some());
         change
     }
 
-    fn name(
+    fn set_from_answer(
         &mut self,
         endpoint: &str,
         per_s: f64,
         sent_at: Duration,
         now: Duration,
     ) -> Option<LimitChange> {
-        if let Some(limit) = self.held.get_mut(endpoint) {
-            limit.named_at = limit.named_at.max(now);
-            if per_s > limit.per_s && sent_at <= limit.held_at {
+        if let Some(limit) = self.active.get_mut(endpoint) {
+            limit.announced_at = limit.announced_at.max(now);
+            if per_s > limit.per_s && sent_at <= limit.confirmed_at {
                 return None;
             }
         }
-        self.put(endpoint, per_s, now, now)
+        self.set(endpoint, per_s, now, now)
     }
 
-    fn end(&mut self, endpoint: &str, sent_at: Duration, now: Duration) -> Option<LimitChange> {
-        let limit = self.held.get(endpoint)?;
-        if sent_at <= limit.named_at {
+    fn clear(&mut self, endpoint: &str, sent_at: Duration, now: Duration) -> Option<LimitChange> {
+        let limit = self.active.get(endpoint)?;
+        if sent_at <= limit.announced_at {
             return None;
         }
-        self.held.remove(endpoint);
-        let ended = Ended {
+        self.active.remove(endpoint);
+        let ended = EndedLimit {
             sent_at,
             known_at: now,
         };
@@ -166,79 +173,81 @@
         Some(LimitChange::Ended)
     }
 
-    /// Limits that began or ended of late, for members; `first` picks where to begin where there are too many.
+    /// Returns the limits that started or ended recently, for other members. `offset` selects the
+    /// first one if there are too many for one heartbeat.
     #[must_use]
-    pub fn news(&self, first: usize, now: Duration) -> Vec<LimitNews> {
-        let is_news = |known_at: Duration| now.saturating_sub(known_at) < PASSED_ON;
-        let began = self.held.iter();
-        let began = began.filter(|(_, limit)| is_news(limit.known_at));
-        let began = began.map(|(endpoint, limit)| LimitNews {
+    pub fn recent_updates(&self, offset: usize, now: Duration) -> Vec<LimitUpdate> {
+        let is_recent = |known_at: Duration| now.saturating_sub(known_at) < GOSSIP_FOR;
+        let began = self.active.iter();
+        let began = began.filter(|(_, limit)| is_recent(limit.known_at));
+        let began = began.map(|(endpoint, limit)| LimitUpdate {
             endpoint: endpoint.clone(),
             per_s: Some(limit.per_s),
-            ago: now.saturating_sub(limit.named_at),
+            age: now.saturating_sub(limit.announced_at),
         });
         let ended = self.ended.iter();
-        let ended = ended.filter(|(_, ended)| is_news(ended.known_at));
-        let ended = ended.map(|(endpoint, ended)| LimitNews {
+        let ended = ended.filter(|(_, ended)| is_recent(ended.known_at));
+        let ended = ended.map(|(endpoint, ended)| LimitUpdate {
             endpoint: endpoint.clone(),
             per_s: None,
-            ago: now.saturating_sub(ended.sent_at),
+            age: now.saturating_sub(ended.sent_at),
         });
-        let mut news: Vec<LimitNews> = began.chain(ended).collect();
-        let count = news.len().max(1);
-        news.rotate_left(first % count);
-        news.truncate(LIMIT_NEWS_MAX);
-        news
+        let mut updates: Vec<LimitUpdate> = began.chain(ended).collect();
+        let count = updates.len().max(1);
+        updates.rotate_left(offset % count);
+        updates.truncate(LIMIT_UPDATES_MAX);
+        updates
     }
 
-    /// What is known of a limit, as a member is told.
+    /// Returns the known limit of an endpoint as an update for another member.
     #[must_use]
-    pub fn told(&self, endpoint: &str, now: Duration) -> Option<LimitNews> {
-        let limit = self.held.get(endpoint)?;
-        Some(LimitNews {
+    pub fn update_for(&self, endpoint: &str, now: Duration) -> Option<LimitUpdate> {
+        let limit = self.active.get(endpoint)?;
+        Some(LimitUpdate {
             endpoint: endpoint.to_owned(),
             per_s: Some(limit.per_s),
-            ago: now.saturating_sub(limit.named_at),
+            age: now.saturating_sub(limit.announced_at),
         })
     }
 
-    /// Rises with every change of what holds.
+    /// Returns a version that is incremented on every change of the limits in force.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Requests a second that an endpoint takes from all instances together; nothing where it names no limit.
+    /// Returns the requests per second that an endpoint accepts from all instances together; `None`
+    /// if it announces no limit.
     #[must_use]
     pub fn per_s(&self, endpoint: &str) -> Option<f64> {
-        self.held.get(endpoint).map(|limit| limit.per_s)
+        self.active.get(endpoint).map(|limit| limit.per_s)
     }
 
-    /// Endpoints that name a limit, and the requests a second that each takes.
-    pub fn all(&self) -> impl Iterator<Item = (String, f64)> {
-        let limits = self.held.iter();
+    /// Returns the endpoints that announce a limit, with their requests per second.
+    pub fn announced(&self) -> impl Iterator<Item = (String, f64)> {
+        let limits = self.active.iter();
         limits.map(|(endpoint, limit)| (endpoint.clone(), limit.per_s))
     }
 
-    /// Endpoints that name a limit.
+    /// Returns the number of endpoints that announce a limit.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.active.len()
     }
 
-    /// Whether no endpoint names one.
+    /// Returns whether no endpoint announces a limit.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.active.is_empty()
     }
 
-    /// Forgets starts that are gone, and ends that are news no more.
-    pub fn tidy(&mut self, is_known: impl Fn(&str) -> bool, now: Duration) {
-        let before = self.held.len();
-        self.held.retain(|endpoint, _| is_known(endpoint));
-        self.version += u64::from(self.held.len() < before);
-        let kept = |ended: &Ended| now.saturating_sub(ended.known_at) < PASSED_ON;
+    /// Removes endpoint incarnations that are gone and ends that need no more gossip.
+    pub fn prune(&mut self, is_known: impl Fn(&str) -> bool, now: Duration) {
+        let count_before = self.active.len();
+        self.active.retain(|endpoint, _| is_known(endpoint));
+        self.version += u64::from(self.active.len() < count_before);
+        let is_recent = |ended: &EndedLimit| now.saturating_sub(ended.known_at) < GOSSIP_FOR;
         self.ended
-            .retain(|endpoint, ended| kept(ended) && is_known(endpoint));
+            .retain(|endpoint, ended| is_recent(ended) && is_known(endpoint));
     }
 }
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -16,7 +16,7 @@
 use super::{names, unknown};
 use crate::gateway::call::{AnswerHead, SendHead};
 use crate::kernel::endpoint_word::EndpointWord;
-use crate::kernel::limit::LimitWord;
+use crate::kernel::limit::LimitSignal;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
@@ -183,8 +183,8 @@
 }
 
 /// Requests a second that an endpoint takes from all instances together. Of several values the lowest counts.
-fn limit_named(headers: &HeaderMap) -> LimitWord {
-    let mut limit = LimitWord::Unsaid;
+fn limit_named(headers: &HeaderMap) -> LimitSignal {
+    let mut limit = LimitSignal::Absent;
     for value in headers.get_all(names::LIMIT) {
         let per_s = value.to_str().ok().and_then(decimal);
         if per_s.is_none() {
@@ -192,10 +192,10 @@
             unknown::note("value of server-limit", &text);
         }
         limit = match (limit, per_s) {
-            (LimitWord::PerS(known), Some(per_s)) => LimitWord::PerS(known.min(per_s)),
-            (LimitWord::PerS(known), None) => LimitWord::PerS(known),
-            (_, Some(per_s)) => LimitWord::PerS(per_s),
-            (_, None) => LimitWord::Unreadable,
+            (LimitSignal::PerS(known), Some(per_s)) => LimitSignal::PerS(known.min(per_s)),
+            (LimitSignal::PerS(known), None) => LimitSignal::PerS(known),
+            (_, Some(per_s)) => LimitSignal::PerS(per_s),
+            (_, None) => LimitSignal::Invalid,
         };
     }
     limit
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -17,7 +17,7 @@
 
 use http::Response;
 use larkwick::kernel::endpoint_word::EndpointWord;
-use larkwick::kernel::limit::LimitWord;
+use larkwick::kernel::limit::LimitSignal;
 use larkwick::platform::engine;
 use larkwick::standin::site::server::{Server, ServerFault};
 use larkwick::standin::site::store::StoreMood;
@@ -219,17 +219,17 @@
 fn decode_answer_limit_whatever_the_answer() {
     let limit_of = |status, text| word_of(status, &[("server-limit", text)]).limit;
     for status in [200, 404, 500, 503, 504] {
-        assert_eq!(limit_of(status, "3.3"), LimitWord::PerS(3.3), "{status}");
+        assert_eq!(limit_of(status, "3.3"), LimitSignal::PerS(3.3), "{status}");
     }
-    assert_eq!(limit_of(200, " 0 "), LimitWord::PerS(0.0));
-    assert_eq!(limit_of(200, "1e308"), LimitWord::PerS(1e308));
+    assert_eq!(limit_of(200, " 0 "), LimitSignal::PerS(0.0));
+    assert_eq!(limit_of(200, "1e308"), LimitSignal::PerS(1e308));
     for text in ["-1", "nan", "inf", "1e309", "", "few", "\u{e9}"] {
-        assert_eq!(limit_of(200, text), LimitWord::Unreadable, "{text}");
+        assert_eq!(limit_of(200, text), LimitSignal::Invalid, "{text}");
     }
-    assert_eq!(word_of(200, &[]).limit, LimitWord::Unsaid);
+    assert_eq!(word_of(200, &[]).limit, LimitSignal::Absent);
     for texts in [["7", "2"], ["2", "7"], ["few", "2"], ["2", ""]] {
         let said_twice = texts.map(|text| ("server-limit", text));
-        assert_eq!(word_of(200, &said_twice).limit, LimitWord::PerS(2.0));
+        assert_eq!(word_of(200, &said_twice).limit, LimitSignal::PerS(2.0));
     }
 }
 
--- a/tests/kernel/limit.rs
+++ b/tests/kernel/limit.rs
@@ -1,196 +1,220 @@
-//! Limits that endpoints name.
+//! Rate limits that endpoints announce.
 
 use std::time::Duration;
 
-use larkwick::kernel::limit::{LIMIT_NEWS_MAX, LimitChange, LimitWord, Limits};
+use larkwick::kernel::limit::{EndpointLimits, LIMIT_UPDATES_MAX, LimitChange, LimitSignal};
 use proptest::prelude::*;
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(100_000 + millis)
 }
 
-const FEW: LimitWord = LimitWord::PerS(2.0);
-const MORE: LimitWord = LimitWord::PerS(5.0);
+const LOW: LimitSignal = LimitSignal::PerS(2.0);
+const HIGH: LimitSignal = LimitSignal::PerS(5.0);
 
 #[test]
-fn take_limit_holds_until_an_answer_without_one() {
-    let mut limits = Limits::default();
-    assert_eq!(limits.take("e", LimitWord::Unsaid, at(0), at(1)), None);
-    let began = limits.take("e", FEW, at(2), at(3));
+fn record_signal_limit_holds_until_answer_without_one() {
+    let mut limits = EndpointLimits::default();
+    assert_eq!(
+        limits.record_signal("e", LimitSignal::Absent, at(0), at(1)),
+        None
+    );
+    let began = limits.record_signal("e", LOW, at(2), at(3));
     assert_eq!(began, Some(LimitChange::Began(2.0)));
     assert_eq!(limits.per_s("e"), Some(2.0));
-    assert_eq!(limits.per_s("another start"), None);
-    assert_eq!(limits.take("e", FEW, at(4), at(5)), None, "no news");
-    let ended = limits.take("e", LimitWord::Unsaid, at(6), at(7));
+    assert_eq!(limits.per_s("another incarnation"), None);
+    assert_eq!(
+        limits.record_signal("e", LOW, at(4), at(5)),
+        None,
+        "unchanged limit"
+    );
+    let ended = limits.record_signal("e", LimitSignal::Absent, at(6), at(7));
     assert_eq!(ended, Some(LimitChange::Ended));
     assert_eq!(limits.per_s("e"), None);
-    let again = limits.take("e", FEW, at(8), at(9));
+    let again = limits.record_signal("e", LOW, at(8), at(9));
     assert_eq!(again, Some(LimitChange::Began(2.0)));
 }
 
 #[test]
-fn take_answer_asked_for_before_the_need_does_not_end_it() {
-    let mut limits = Limits::default();
-    limits.take("e", FEW, at(10), at(20));
-    limits.take("e", LimitWord::Unsaid, at(0), at(30));
-    limits.take("e", LimitWord::Unsaid, at(20), at(40));
+fn record_signal_answer_to_earlier_request_does_not_end_limit() {
+    let mut limits = EndpointLimits::default();
+    limits.record_signal("e", LOW, at(10), at(20));
+    limits.record_signal("e", LimitSignal::Absent, at(0), at(30));
+    limits.record_signal("e", LimitSignal::Absent, at(20), at(40));
     assert_eq!(limits.per_s("e"), Some(2.0));
-    limits.take("e", LimitWord::Unsaid, at(21), at(41));
+    limits.record_signal("e", LimitSignal::Absent, at(21), at(41));
     assert_eq!(limits.per_s("e"), None);
 }
 
 #[test]
-fn take_higher_limit_of_an_answer_that_crossed_the_lower_holds() {
-    let mut limits = Limits::default();
-    limits.take("e", FEW, at(10), at(20));
-    assert_eq!(limits.take("e", MORE, at(0), at(30)), None);
+fn record_signal_higher_limit_out_of_order_keeps_lower() {
+    let mut limits = EndpointLimits::default();
+    limits.record_signal("e", LOW, at(10), at(20));
+    assert_eq!(limits.record_signal("e", HIGH, at(0), at(30)), None);
     assert_eq!(limits.per_s("e"), Some(2.0));
-    let raised = limits.take("e", MORE, at(21), at(40));
+    let raised = limits.record_signal("e", HIGH, at(21), at(40));
     assert_eq!(raised, Some(LimitChange::Changed(5.0)));
-    let lowered = limits.take("e", FEW, at(0), at(50));
+    let lowered = limits.record_signal("e", LOW, at(0), at(50));
     assert_eq!(lowered, Some(LimitChange::Changed(2.0)));
 }
 
 #[test]
-fn take_what_cannot_be_read_changes_nothing() {
-    let mut limits = Limits::default();
-    assert_eq!(limits.take("e", LimitWord::Unreadable, at(0), at(1)), None);
+fn record_signal_invalid_changes_nothing() {
+    let mut limits = EndpointLimits::default();
+    assert_eq!(
+        limits.record_signal("e", LimitSignal::Invalid, at(0), at(1)),
+        None
+    );
     assert!(limits.is_empty());
-    limits.take("e", FEW, at(2), at(3));
-    limits.take("e", LimitWord::Unreadable, at(4), at(5));
+    limits.record_signal("e", LOW, at(2), at(3));
+    limits.record_signal("e", LimitSignal::Invalid, at(4), at(5));
     assert_eq!(limits.per_s("e"), Some(2.0));
 }
 
 #[test]
-fn tidy_starts_that_are_gone_forgotten() {
-    let mut limits = Limits::default();
-    limits.take("gone", FEW, at(0), at(1));
-    limits.take("e", FEW, at(0), at(1));
-    limits.tidy(|endpoint| endpoint == "e", at(2));
+fn prune_gone_incarnations_removed() {
+    let mut limits = EndpointLimits::default();
+    limits.record_signal("gone", LOW, at(0), at(1));
+    limits.record_signal("e", LOW, at(0), at(1));
+    limits.prune(|endpoint| endpoint == "e", at(2));
     assert_eq!(limits.len(), 1);
 }
 
-/// What one instance tells another, some time later.
-fn told(from: &Limits, to: &mut Limits, at: Duration, later: Duration) {
-    for news in from.news(0, at) {
-        to.take_news(&news, later);
+/// Sends the recent updates of one instance to another, where they arrive later.
+fn deliver_updates(
+    from: &EndpointLimits,
+    to: &mut EndpointLimits,
+    at: Duration,
+    arrives_at: Duration,
+) {
+    for update in from.recent_updates(0, at) {
+        to.apply_update(&update, arrives_at);
     }
 }
 
 #[test]
-fn take_news_begin_and_end_reach_those_that_did_not_hear() {
-    let (mut heard, mut other) = (Limits::default(), Limits::default());
-    heard.take("e", FEW, at(0), at(10));
-    told(&heard, &mut other, at(100), at(101));
-    assert_eq!(other.per_s("e"), Some(2.0));
-    heard.take("e", LimitWord::Unsaid, at(200), at(210));
-    told(&heard, &mut other, at(300), at(301));
-    assert_eq!(other.per_s("e"), None);
+fn apply_update_start_and_end_reach_other_instances() {
+    let (mut sender, mut receiver) = (EndpointLimits::default(), EndpointLimits::default());
+    sender.record_signal("e", LOW, at(0), at(10));
+    deliver_updates(&sender, &mut receiver, at(100), at(101));
+    assert_eq!(receiver.per_s("e"), Some(2.0));
+    sender.record_signal("e", LimitSignal::Absent, at(200), at(210));
+    deliver_updates(&sender, &mut receiver, at(300), at(301));
+    assert_eq!(receiver.per_s("e"), None);
 }
 
 #[test]
-fn take_news_older_than_what_is_known_changes_nothing() {
-    let (mut first, mut second) = (Limits::default(), Limits::default());
-    first.take("e", FEW, at(0), at(10));
-    let old = first.news(0, at(20));
-    second.take("e", FEW, at(0), at(5));
-    second.take("e", LimitWord::Unsaid, at(50), at(60));
-    for news in &old {
-        // It is as old as it was when it was told, and took a while.
+fn apply_update_older_than_known_changes_nothing() {
+    let (mut first, mut second) = (EndpointLimits::default(), EndpointLimits::default());
+    first.record_signal("e", LOW, at(0), at(10));
+    let old = first.recent_updates(0, at(20));
+    second.record_signal("e", LOW, at(0), at(5));
+    second.record_signal("e", LimitSignal::Absent, at(50), at(60));
+    for update in &old {
+        // The age given is the one at the time of sending; the delivery took 5 ms more.
         let late = at(20) + Duration::from_millis(5);
-        assert_eq!(second.take_news(news, late), None);
+        assert_eq!(second.apply_update(update, late), None);
     }
     assert_eq!(second.per_s("e"), None);
-    second.take("e", FEW, at(100), at(110));
-    told(&first, &mut second, at(120), at(121));
-    assert_eq!(second.per_s("e"), Some(2.0), "an old end after a new need");
+    second.record_signal("e", LOW, at(100), at(110));
+    deliver_updates(&first, &mut second, at(120), at(121));
+    assert_eq!(
+        second.per_s("e"),
+        Some(2.0),
+        "an outdated end must not clear a newer limit"
+    );
 }
 
 #[test]
-fn news_of_many_few_in_a_heartbeat_and_each_in_turn() {
-    let mut limits = Limits::default();
+fn recent_updates_many_limits_rotated_over_heartbeats() {
+    let mut limits = EndpointLimits::default();
     let count = 40;
     for number in 0..count {
-        limits.take(&format!("e{number:02}"), FEW, at(0), at(1));
+        limits.record_signal(&format!("e{number:02}"), LOW, at(0), at(1));
     }
-    let mut other = Limits::default();
-    for first in (0..count).step_by(LIMIT_NEWS_MAX) {
-        let news = limits.news(first, at(2));
-        assert_eq!(news.len(), LIMIT_NEWS_MAX);
-        for one in &news {
-            other.take_news(one, at(3));
+    let mut receiver = EndpointLimits::default();
+    for first in (0..count).step_by(LIMIT_UPDATES_MAX) {
+        let updates = limits.recent_updates(first, at(2));
+        assert_eq!(updates.len(), LIMIT_UPDATES_MAX);
+        for update in &updates {
+            receiver.apply_update(update, at(3));
         }
     }
-    assert_eq!(other.len(), count);
-    let much_later = at(0) + Duration::from_mins(1);
-    assert!(limits.news(0, much_later).is_empty(), "news no more");
+    assert_eq!(receiver.len(), count);
+    let after_gossip = at(0) + Duration::from_mins(1);
+    assert!(
+        limits.recent_updates(0, after_gossip).is_empty(),
+        "gossip period is over"
+    );
 }
 
-/// A request to an endpoint: sent, answered there and heard of so many milliseconds after the one before was sent.
+/// A request to an endpoint: milliseconds from the previous request until it is sent, then until it
+/// is answered, then until the answer arrives.
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    after: u64,
-    answered_in: u64,
-    heard_in: u64,
+    send_delay: u64,
+    answer_delay: u64,
+    arrival_delay: u64,
 }
 
 fn requests() -> impl Strategy<Value = Vec<Request>> {
     let request = (0_u64..400, 0_u64..2_000, 0_u64..2_000);
-    let request = request.prop_map(|(after, answered_in, heard_in)| Request {
-        after,
-        answered_in,
-        heard_in,
+    let request = request.prop_map(|(send_delay, answer_delay, arrival_delay)| Request {
+        send_delay,
+        answer_delay,
+        arrival_delay,
     });
     prop::collection::vec(request, 1..60)
 }
 
-/// What the endpoint names from so many milliseconds on; nothing at first.
-fn named() -> impl Strategy<Value = Vec<(u64, LimitWord)>> {
-    let word = prop_oneof![
-        Just(LimitWord::Unsaid),
-        (0.1_f64..5.0).prop_map(LimitWord::PerS)
+/// The limits that the endpoint announces, each from so many milliseconds on; none at first.
+fn announced() -> impl Strategy<Value = Vec<(u64, LimitSignal)>> {
+    let signal = prop_oneof![
+        Just(LimitSignal::Absent),
+        (0.1_f64..5.0).prop_map(LimitSignal::PerS)
     ];
-    prop::collection::vec((0_u64..12_000, word), 1..6).prop_map(|mut named| {
-        named.sort_by_key(|(at, _)| *at);
-        named
+    prop::collection::vec((0_u64..12_000, signal), 1..6).prop_map(|mut announced| {
+        announced.sort_by_key(|(at, _)| *at);
+        announced
     })
 }
 
-fn word_at(named: &[(u64, LimitWord)], at: u64) -> LimitWord {
-    let before = named.iter().rev().find(|(from, _)| *from <= at);
-    before.map_or(LimitWord::Unsaid, |(_, word)| *word)
+fn signal_at(announced: &[(u64, LimitSignal)], at: u64) -> LimitSignal {
+    let before = announced.iter().rev().find(|(from, _)| *from <= at);
+    before.map_or(LimitSignal::Absent, |(_, signal)| *signal)
 }
 
 proptest! {
-    /// Answers cross as they like: none that was made before the last one that named a limit ends it, and what the endpoint says last is what is known once a
-    /// request that was sent after all others were heard of has been answered.
+    /// Answers may arrive in any order. No answer given before the last one that announced a limit
+    /// ends the limit. A final request, sent after all other answers have arrived, leaves the
+    /// endpoint's latest signal in force.
     #[test]
-    fn take_answers_that_cross_no_older_one_ends_a_limit(requests in requests(), named in named()) {
+    fn record_signal_answers_out_of_order_no_older_one_ends_limit(requests in requests(), announced in announced()) {
         let mut sent_at = 0;
-        let mut heard: Vec<(u64, u64, u64)> = Vec::new();
+        let mut answers: Vec<(u64, u64, u64)> = Vec::new();
         for request in &requests {
-            sent_at += request.after;
-            let made_at = sent_at + request.answered_in;
-            heard.push((made_at + request.heard_in, sent_at, made_at));
+            sent_at += request.send_delay;
+            let answered_at = sent_at + request.answer_delay;
+            answers.push((answered_at + request.arrival_delay, sent_at, answered_at));
         }
-        heard.sort_unstable();
-        let mut limits = Limits::default();
-        let mut named_made_at = None;
-        for (heard_at, sent_at, made_at) in &heard {
-            let word = word_at(&named, *made_at);
+        answers.sort_unstable();
+        let mut limits = EndpointLimits::default();
+        let mut last_limit_at = None;
+        for (arrived_at, sent_at, answered_at) in &answers {
+            let signal = signal_at(&announced, *answered_at);
             let was_limited = limits.per_s("e").is_some();
-            limits.take("e", word, at(*sent_at), at(*heard_at));
+            limits.record_signal("e", signal, at(*sent_at), at(*arrived_at));
             if was_limited && limits.per_s("e").is_none() {
-                prop_assert!(named_made_at < Some(*made_at));
+                prop_assert!(last_limit_at < Some(*answered_at));
             }
-            if matches!(word, LimitWord::PerS(_)) {
-                named_made_at = named_made_at.max(Some(*made_at));
+            if matches!(signal, LimitSignal::PerS(_)) {
+                last_limit_at = last_limit_at.max(Some(*answered_at));
             }
         }
-        let last = heard.last().map_or(0, |(heard_at, ..)| *heard_at) + 20_000;
-        let word = word_at(&named, last);
-        limits.take("e", word, at(last), at(last + 1));
-        let known = limits.per_s("e").map_or(LimitWord::Unsaid, LimitWord::PerS);
-        prop_assert_eq!(known, word);
+        let last = answers.last().map_or(0, |(arrived_at, ..)| *arrived_at) + 20_000;
+        let signal = signal_at(&announced, last);
+        limits.record_signal("e", signal, at(last), at(last + 1));
+        let known = limits.per_s("e").map_or(LimitSignal::Absent, LimitSignal::PerS);
+        prop_assert_eq!(known, signal);
     }
 }
