--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -32,12 +32,12 @@
 use crate::kernel::cold::ColdGate;
 use crate::kernel::fleet::Fleet;
 use crate::kernel::health::EndpointHealth;
+use crate::kernel::instance_count::InstanceCounter;
 use crate::kernel::membership::{Incarnation, Members, PeerStatus};
 use crate::kernel::one_at_a_time::OneAtATime;
 use crate::kernel::pace::Pace;
 use crate::kernel::retry::{RetryAllowance, RetryBudget};
 use crate::kernel::route::{RouteConfig, RouteTable};
-use crate::kernel::sharers::Sharers;
 use crate::kernel::suspects::Suspects;
 use crate::peer::client::PeerClients;
 use crate::settings::Settings;
@@ -133,7 +133,7 @@
     fleet_known: std::sync::atomic::AtomicBool,
     pub(crate) members: Arc<Mutex<Members>>,
     /// The members that share the site's allowances.
-    sharers: Mutex<Sharers>,
+    sharers: Mutex<InstanceCounter>,
     /// When heartbeats last went to members out of turn.
     pub(crate) beaten_soon_at: Mutex<Option<Duration>>,
     /// The members that live, with what they can carry.
@@ -356,7 +356,7 @@
             named.collect()
         };
         let members = members.iter().map(|(name, lives)| (name.as_str(), *lives));
-        self.sharers.lock().look(members, now);
+        self.sharers.lock().observe(members, now);
     }
 
     /// Instances that live, this one included.
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -16,6 +16,8 @@
 mod group;
 #[path = "kernel/hall.rs"]
 mod hall;
+#[path = "kernel/instance_count.rs"]
+mod instance_count;
 #[path = "kernel/lengths.rs"]
 mod lengths;
 #[path = "kernel/limit.rs"]
@@ -42,8 +44,6 @@
 mod room_queue;
 #[path = "kernel/routes.rs"]
 mod routes;
-#[path = "kernel/sharers.rs"]
-mod sharers;
 #[path = "kernel/site_rules.rs"]
 mod site_rules;
 #[path = "kernel/standings.rs"]
--- a/tests/kernel/permits.rs
+++ b/tests/kernel/permits.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use larkwick::kernel::instance_count::InstanceCounter;
 use larkwick::kernel::membership::rendezvous;
 use larkwick::kernel::permits::{
     IssuerShare, LimitShare, PERMIT_VALID_FOR, PermitDecision, PermitIssuer, REQUEST_AGAIN_AFTER,
     RequestedPermits,
 };
-use larkwick::kernel::sharers::Sharers;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -156,7 +156,7 @@
 
 struct Instance {
     permits: PermitIssuer,
-    sharers: Sharers,
+    instance_counter: InstanceCounter,
     last_contact: BTreeMap<usize, Duration>,
     paused_until: Duration,
     /// When it reads the list of all instance names.
@@ -169,7 +169,7 @@
     fn new(now: Duration, names_known_at: Duration) -> Self {
         Self {
             permits: PermitIssuer::default(),
-            sharers: Sharers::default(),
+            instance_counter: InstanceCounter::default(),
             last_contact: BTreeMap::new(),
             paused_until: now,
             names_known_at,
@@ -275,8 +275,8 @@
                 })
                 .collect();
             self.instances[instance]
-                .sharers
-                .look(named.into_iter(), now);
+                .instance_counter
+                .observe(named.into_iter(), now);
         }
     }
 
@@ -307,7 +307,11 @@
         let requester = self.names[instance].clone();
         let now = self.now;
         let issuing = &mut self.instances[issuer];
-        let share = limit(self.limit_per_s, reachable, issuing.sharers.count());
+        let share = limit(
+            self.limit_per_s,
+            reachable,
+            issuing.instance_counter.count(),
+        );
         if issuing.permits.request(ENDPOINT, &requester, share, now) == PermitDecision::Granted {
             self.instances[instance]
                 .unused_permits
