--- a/benches/crashing.rs
+++ b/benches/crashing.rs
@@ -9,9 +9,9 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use larkwick::kernel::content::{ContentHead, ContentId, HeadId};
+use larkwick::kernel::crash_suspects::{BEGINNING, End, Rules, Suspects, Verdict};
 use larkwick::kernel::engine_ledger::{EngineEntry, EngineLedger, ReportedRun, RunDemand};
-use larkwick::kernel::suspects::{BEGINNING, End, Rules, Suspects, Verdict};
+use larkwick::kernel::fingerprint::{ContentHead, ContentId, HeadId};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -318,7 +318,7 @@
             self.ledger.release(&name);
             let ran_for = self.now.saturating_sub(run.placed_at + BEGINS_AFTER);
             let end = End {
-                endpoint: larkwick::kernel::suspects::short_hash(engine),
+                endpoint: larkwick::kernel::crash_suspects::short_hash(engine),
                 software: 0,
                 beginning: ran_for < BEGINNING,
             };
--- a/benches/resting.rs
+++ b/benches/resting.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use larkwick::kernel::rest::Rests;
+use larkwick::kernel::cooldown::Rests;
 use larkwick::kernel::retry::{RetryAllowance, RetryBudget};
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
--- a/src/gateway/broken_off.rs
+++ b/src/gateway/broken_off.rs
@@ -12,7 +12,7 @@
 use super::node::Gateway;
 use super::upstream::Upstream;
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::fleet::EndpointEntry;
 
 /// What was found of an endpoint counts for this long: all that it broke off is cut within milliseconds, and one connection tells for all.
--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_choice.rs
@@ -7,7 +7,7 @@
 
 use super::inbound_call::Call;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::pace::Pace;
+use crate::kernel::response_time::Pace;
 
 /// Draws an endpoint that was not tried, by weight; where all were tried, rest, or get no more for now, none. `before_any` is the pace of a
 /// service that has not answered yet.
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -13,9 +13,9 @@
 use super::node::Gateway;
 use super::permits::PermitDesk;
 use crate::kernel::clock::{Clock, millis};
+use crate::kernel::cooldown::Rests;
 use crate::kernel::fleet::{Fleet, FleetChange};
 use crate::kernel::limit::LimitSignal;
-use crate::kernel::rest::Rests;
 
 /// What endpoints say of themselves, on its way to whom it concerns.
 pub(crate) struct EndpointWords {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -11,7 +11,7 @@
 use super::node::{Gateway, MEMBER_RING};
 use super::site_store::{MemberEntry, SitePage, SiteRecord, SiteStore, StoreError, Subject};
 use crate::kernel::backoff::Backoff;
-use crate::kernel::content::ContentId;
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::fleet::{FleetChange, ListNews};
 use crate::kernel::membership::{Incarnation, Listed, PeerStatus};
 use crate::kernel::position::Position;
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -24,11 +24,11 @@
 use super::upstream::{Answer, NoConnection, Reuse, SendFailure};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
+use crate::kernel::cooldown::Outlook;
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::RunDemand;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::pace::Pace;
-use crate::kernel::rest::Outlook;
-use crate::kernel::suspects::Verdict;
+use crate::kernel::response_time::Pace;
 use crate::platform::{engine, ingress};
 
 /// Engines that one generation is offered to.
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -8,7 +8,7 @@
 
 use super::call::CallHead;
 use super::node::{Counted, Gateway};
-use crate::kernel::content::{ContentHead, ContentId, HeadId};
+use crate::kernel::fingerprint::{ContentHead, ContentId, HeadId};
 use crate::kernel::route::{Route, RouteTable};
 
 /// A call on its way.
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -12,11 +12,11 @@
 
 use super::node::{Gateway, Stage};
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::EngineSummary;
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::fleet::{EndpointEntry, Standing};
 use crate::kernel::membership::PeerStatus;
-use crate::kernel::suspects::Verdict;
 
 /// Adds the operators' routes.
 pub(crate) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -360,7 +360,7 @@
     pub(crate) fn limit_news(&self, first: usize) -> Vec<wire::EndpointLimit> {
         let news = self.words.permits.news(first).into_iter();
         let told = news.map(|news| wire::EndpointLimit {
-            endpoint: crate::kernel::suspects::short_hash(&news.endpoint),
+            endpoint: crate::kernel::crash_suspects::short_hash(&news.endpoint),
             per_s: news.per_s.unwrap_or_default(),
             ended: news.per_s.is_none(),
             ms_ago: millis(news.age),
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -21,11 +21,11 @@
 use super::upstream::{Answer, RestedWith, Reuse, SendFailure};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
+use crate::kernel::cooldown::Outlook;
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::pace::Pace;
-use crate::kernel::rest::Outlook;
+use crate::kernel::response_time::Pace;
 use crate::kernel::route::CallKind;
-use crate::kernel::suspects::Verdict;
 use crate::platform::{engine, ingress};
 
 /// Largest answer that is held whole before it is passed on.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -22,7 +22,7 @@
 use super::takeover::{self, Silence};
 use super::upstream::Answer;
 use crate::kernel::clock::millis;
-use crate::kernel::suspects::BEGINNING;
+use crate::kernel::crash_suspects::BEGINNING;
 use crate::platform::engine;
 
 /// An engine that was asked to stop a generation closes its stream, and the place to go on is known, within this time.
--- a/src/gateway/rests.rs
+++ b/src/gateway/rests.rs
@@ -8,8 +8,8 @@
 use super::inbound_call::Call;
 use super::node::Gateway;
 use super::site_store::Subject;
+use crate::kernel::cooldown::{COME_BACK_SPREAD, Outlook};
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::rest::{COME_BACK_SPREAD, Outlook};
 
 impl Gateway {
     /// Whether an endpoint asked this instance for rest that is not over.
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -23,7 +23,7 @@
 use super::subject_cache::SubjectCache;
 use super::tally::{Tally, Work};
 use crate::kernel::clock::{Clock, millis};
-use crate::kernel::content::ContentId;
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::freshness::Freshness;
 use crate::kernel::position::Position;
 use crate::kernel::store_contact::StoreContact;
--- a/src/gateway/site_store.rs
+++ b/src/gateway/site_store.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::Told;
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::position::Position;
 use crate::kernel::roles::{self, default_link_mbps};
 use crate::kernel::route::RouteConfig;
-use crate::kernel::suspects::Told;
 
 /// A subject that is kept and followed on its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -7,8 +7,8 @@
 
 use super::parts::EncodedPage;
 use super::site_store::{SitePage, SiteRecord, Subject};
-use crate::kernel::content::ContentId;
 use crate::kernel::evacuation::EvacuatedHalls;
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::position::Position;
 use crate::kernel::route::RouteConfig;
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -13,9 +13,11 @@
 use super::site_store::{KeptSuspect, SiteStore};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::backoff::Backoff;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::{
+    BEGINNING, Change, End, Told, Verdict, short_hash, software_id,
+};
+use crate::kernel::fingerprint::ContentId;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::suspects::{BEGINNING, Change, End, Told, Verdict, short_hash, software_id};
 use crate::peer::convert::BadField;
 use crate::peer::generated as wire;
 
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -12,8 +12,8 @@
 use super::runs::{Continuation, RunHandle};
 use super::upstream::{Answer, Reuse};
 use super::{engine_reports, moves, suspects};
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::suspects::Verdict;
 use crate::platform::engine;
 
 /// An engine that has sent no event for this long is asked whether it has made some, and again after twice the time: a connection that has gone
--- a/src/kernel/suspects.rs
+++ b/src/kernel/crash_suspects.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::content::{ContentId, HeadId};
+use super::fingerprint::{ContentId, HeadId};
 
 /// What runs for longer than this after its first event did not end its endpoint by beginning. Of nine ends that one request brought about, each came
 /// 0.05 to 0.08 s after it had begun to run; the slowest engine that was measured makes ten events in this time.
--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -5,9 +5,9 @@
 
 use serde::Serialize;
 
+use super::crash_suspects::short_hash;
 pub use super::endpoint_entry::{EndpointEntry, ListNews, start_id};
 use super::evacuation::{EvacuatedHalls, HallChange, HallOrder, HallsInForce};
-use super::suspects::short_hash;
 
 /// After an outage of the list, an entry that is missing may come back for this long; the platform's word is two seconds.
 pub const RELIST_WITHIN: Duration = Duration::from_millis(2_200);
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -6,15 +6,15 @@
 
 use super::generated as wire;
 use crate::kernel::clock::millis;
-use crate::kernel::content::{ContentId, HeadId};
+use crate::kernel::crash_suspects::{End, Told};
 use crate::kernel::engine_ledger::{MoveResult, ReportedRun, RunDemand};
 use crate::kernel::evacuation::EvacuatedHalls;
+use crate::kernel::fingerprint::{ContentId, HeadId};
 use crate::kernel::gossip::Gossip;
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::membership::{Incarnation, PeerStatus};
 use crate::kernel::position::Position;
 use crate::kernel::standings::Standing;
-use crate::kernel::suspects::{End, Told};
 
 /// A field of a message that cannot be read.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -22,8 +22,8 @@
     KeptSuspect, MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError,
     StoreResult, Subject,
 };
-use crate::kernel::content::{ContentId, NotAContent};
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
+use crate::kernel::fingerprint::{ContentId, NotAContent};
 use crate::kernel::position::Position;
 
 /// Longest time until an answer begins, beside what the call waits by itself. The store answers in 4 ms; slow days take sixty times that.
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -4,6 +4,10 @@
 mod cold;
 #[path = "kernel/config.rs"]
 mod config;
+#[path = "kernel/cooldown.rs"]
+mod cooldown;
+#[path = "kernel/crash_suspects.rs"]
+mod crash_suspects;
 #[path = "kernel/engine_ledger.rs"]
 mod engine_ledger;
 #[path = "kernel/evacuation.rs"]
@@ -28,16 +32,14 @@
 mod membership;
 #[path = "kernel/owner_contact.rs"]
 mod owner_contact;
-#[path = "kernel/pace.rs"]
-mod pace;
 #[path = "kernel/parsers.rs"]
 mod parsers;
 #[path = "kernel/permits.rs"]
 mod permits;
 #[path = "kernel/placement.rs"]
 mod placement;
-#[path = "kernel/rest.rs"]
-mod rest;
+#[path = "kernel/response_time.rs"]
+mod response_time;
 #[path = "kernel/retry.rs"]
 mod retry;
 #[path = "kernel/room_queue.rs"]
@@ -52,5 +54,3 @@
 mod store_contact;
 #[path = "kernel/store_sources.rs"]
 mod store_sources;
-#[path = "kernel/suspects.rs"]
-mod suspects;
--- a/tests/kernel/rest.rs
+++ b/tests/kernel/cooldown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkwick::kernel::rest::{Outlook, RELIEF_MAX, REST_MAX, Rests};
+use larkwick::kernel::cooldown::{Outlook, RELIEF_MAX, REST_MAX, Rests};
 
 const NOW: Duration = Duration::from_secs(100);
 
--- a/tests/kernel/suspects.rs
+++ b/tests/kernel/crash_suspects.rs
@@ -3,8 +3,10 @@
 use std::time::Duration;
 
 use larkwick::kernel::clock::Clock;
-use larkwick::kernel::content::{ContentHead, ContentId};
-use larkwick::kernel::suspects::{Change, End, NEWS_MAX, Suspects, Told, Verdict, software_id};
+use larkwick::kernel::crash_suspects::{
+    Change, End, NEWS_MAX, Suspects, Told, Verdict, software_id,
+};
+use larkwick::kernel::fingerprint::{ContentHead, ContentId};
 use proptest::prelude::*;
 
 use super::hall::{Hall, PERIOD};
--- a/tests/kernel/pace.rs
+++ b/tests/kernel/response_time.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use larkwick::kernel::pace::Pace;
+use larkwick::kernel::response_time::Pace;
 use proptest::prelude::*;
 
 fn steady(millis: u64, answers: u32) -> Pace {
