--- a/benches/resting.rs
+++ b/benches/resting.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use larkwick::kernel::cooldown::Rests;
+use larkwick::kernel::cooldown::EndpointCooldowns;
 use larkwick::kernel::retry::{RetryAllowance, RetryBudget};
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
@@ -60,7 +60,7 @@
 }
 
 struct Instance {
-    rests: Rests,
+    rests: EndpointCooldowns,
     budget: RetryBudget,
     in_rest: [u32; ENGINES],
 }
@@ -70,7 +70,7 @@
     heeds: Heeds,
     day: Day,
     instances: Vec<Instance>,
-    for_all: Rests,
+    for_all: EndpointCooldowns,
     paused_until: [Duration; ENGINES],
     running: Vec<Vec<Duration>>,
     outcome: Outcome,
@@ -83,7 +83,7 @@
 impl Play {
     fn new(seed: u64, heeds: Heeds, day: Day) -> Self {
         let instance = || Instance {
-            rests: Rests::default(),
+            rests: EndpointCooldowns::default(),
             budget: ALLOWANCE.budget_of_one(day.instances),
             in_rest: [0; ENGINES],
         };
@@ -92,7 +92,7 @@
             heeds,
             day,
             instances: (0..day.instances).map(|_| instance()).collect(),
-            for_all: Rests::default(),
+            for_all: EndpointCooldowns::default(),
             paused_until: [Duration::ZERO; ENGINES],
             running: vec![Vec::new(); ENGINES],
             outcome: Outcome::default(),
@@ -118,15 +118,17 @@
             let name = name(*engine);
             let rests = match self.heeds {
                 Heeds::Nobody => false,
-                Heeds::Asked | Heeds::Last => self.instances[instance].rests.is_resting(&name, now),
-                Heeds::All => self.for_all.is_resting(&name, now),
+                Heeds::Asked | Heeds::Last => {
+                    self.instances[instance].rests.is_cooling_down(&name, now)
+                }
+                Heeds::All => self.for_all.is_cooling_down(&name, now),
             };
             let is_full = self.running[*engine].len() >= PLACES;
             !rests && !is_full && now >= self.paused_until[*engine] && !excluded.contains(engine)
         });
         let mut engines: Vec<usize> = engines.collect();
         if self.heeds == Heeds::Last {
-            let asked = |engine: &usize| self.for_all.is_resting(&name(*engine), now);
+            let asked = |engine: &usize| self.for_all.is_cooling_down(&name(*engine), now);
             let others = engines.iter().copied().filter(|engine| !asked(engine));
             let others: Vec<usize> = others.collect();
             if !others.is_empty() {
@@ -163,7 +165,7 @@
     fn taken(&mut self, instance: usize, engine: usize, now: Duration) -> bool {
         let name = name(engine);
         let asked = &mut self.instances[instance];
-        if asked.rests.is_resting(&name, now) {
+        if asked.rests.is_cooling_down(&name, now) {
             asked.in_rest[engine] += 1;
             self.outcome.in_rest_most = self.outcome.in_rest_most.max(asked.in_rest[engine]);
         } else {
@@ -175,8 +177,8 @@
             return true;
         }
         self.outcome.vain += 1.0;
-        asked.rests.ask(&name, REST, now);
-        self.for_all.ask(&name, REST, now);
+        asked.rests.start(&name, REST, now);
+        self.for_all.start(&name, REST, now);
         self.paused_until[engine] = now + REFUSED_PAUSE;
         false
     }
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -330,7 +330,7 @@
         gateway.cold_gate.lock().tidy(gateway.now());
         let now = gateway.now();
         let is_known = |endpoint: &str| known.contains(endpoint);
-        gateway.words.rests.lock().tidy(is_known, now);
+        gateway.words.rests.lock().prune(is_known, now);
         gateway.words.permits.tidy(is_known);
         gateway.upstream.tidy(|endpoint| known.contains(endpoint));
         gateway
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -13,7 +13,7 @@
 use super::node::Gateway;
 use super::permits::PermitDesk;
 use crate::kernel::clock::{Clock, millis};
-use crate::kernel::cooldown::Rests;
+use crate::kernel::cooldown::EndpointCooldowns;
 use crate::kernel::fleet::{Fleet, FleetChange};
 use crate::kernel::limit::LimitSignal;
 
@@ -22,7 +22,7 @@
     clock: Arc<dyn Clock>,
     fleet: Arc<Mutex<Fleet>>,
     /// Endpoints that asked this instance for rest. No other lock is taken while it is held.
-    pub(super) rests: Mutex<Rests>,
+    pub(super) rests: Mutex<EndpointCooldowns>,
     /// What endpoints take from all instances together.
     pub(super) permits: Arc<PermitDesk>,
     /// Wakes the task that tells the owners and the members of endpoints that leave, and of limits.
@@ -74,7 +74,7 @@
 
     fn told_rest(&self, endpoint: &str, rest: Duration) {
         let now = self.clock.now();
-        let is_news = self.rests.lock().ask(endpoint, rest, now);
+        let is_news = self.rests.lock().start(endpoint, rest, now);
         if is_news {
             metrics::counter!("larkwick_endpoint_rests_total").increment(1);
             if crate::log::admits("endpoint asks for rest") {
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -24,7 +24,7 @@
 use super::upstream::{Answer, NoConnection, Reuse, SendFailure};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
-use crate::kernel::cooldown::Outlook;
+use crate::kernel::cooldown::ServiceAvailability;
 use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::RunDemand;
 use crate::kernel::fleet::EndpointEntry;
@@ -310,12 +310,12 @@
     let waits_until = gateway.now().saturating_add(wait);
     let is_excluded = |engine: &EndpointEntry| offers.excluded.contains(&engine.id);
     match rests::outlook(call, is_excluded, waits_until) {
-        Outlook::Open => true,
-        Outlook::Opens { at } => {
+        ServiceAvailability::Available => true,
+        ServiceAvailability::AvailableAt { at } => {
             gateway.sleep_until(at).await;
             true
         }
-        Outlook::Closed { .. } => false,
+        ServiceAvailability::Unavailable { .. } => false,
     }
 }
 
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -85,7 +85,7 @@
         let dumped = fleet.into_iter().map(|(entry, standing)| {
             let failures_share = health.failures(&entry.id, now);
             let calls_in_flight = health.in_flight(&entry.id);
-            let rests_until = rests.until(&entry.id, now).unwrap_or_default();
+            let rests_until = rests.ends_at(&entry.id, now).unwrap_or_default();
             let limit_per_s = gateway.words.permits.limit_per_s(&entry.id);
             let id = entry.id.clone();
             let dump = EndpointDump {
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -21,7 +21,7 @@
 use super::upstream::{Answer, RestedWith, Reuse, SendFailure};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
-use crate::kernel::cooldown::Outlook;
+use crate::kernel::cooldown::ServiceAvailability;
 use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::response_time::Pace;
@@ -225,8 +225,10 @@
         let waits_until = (call.arrived + call.route.goal).saturating_sub(usual);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
         match rests::outlook(call, is_tried, waits_until) {
-            Outlook::Opens { at } => gateway.sleep_until(at).await,
-            Outlook::Open | Outlook::Closed { .. } => return None,
+            ServiceAvailability::AvailableAt { at } => gateway.sleep_until(at).await,
+            ServiceAvailability::Available | ServiceAvailability::Unavailable { .. } => {
+                return None;
+            }
         }
     }
 }
--- a/src/gateway/rests.rs
+++ b/src/gateway/rests.rs
@@ -8,19 +8,22 @@
 use super::inbound_call::Call;
 use super::node::Gateway;
 use super::site_store::Subject;
-use crate::kernel::cooldown::{COME_BACK_SPREAD, Outlook};
+use crate::kernel::cooldown::{RETRY_AFTER_SPREAD, ServiceAvailability};
 use crate::kernel::fleet::EndpointEntry;
 
 impl Gateway {
     /// Whether an endpoint asked this instance for rest that is not over.
     pub(crate) fn rests(&self, endpoint: &str) -> bool {
-        self.words.rests.lock().is_resting(endpoint, self.now())
+        self.words
+            .rests
+            .lock()
+            .is_cooling_down(endpoint, self.now())
     }
 
     /// Whether a request may go to an endpoint for what runs there already; it may not be sent later than at once.
     pub(crate) fn admits_relief(&self, endpoint: &str) -> bool {
         let now = self.now();
-        self.words.rests.lock().admits_relief(endpoint, now)
+        self.words.rests.lock().try_admit_exempt(endpoint, now)
     }
 
     /// Endpoints to which nothing new may go from here for now: those that rest, and those for which no permit is to be had.
@@ -34,7 +37,7 @@
     pub(crate) fn resting(&self) -> BTreeSet<String> {
         let now = self.now();
         let rests = self.words.rests.lock();
-        rests.resting(now).map(str::to_owned).collect()
+        rests.cooling_down(now).map(str::to_owned).collect()
     }
 }
 
@@ -50,7 +53,7 @@
     call: &Call,
     is_excluded: impl Fn(&EndpointEntry) -> bool,
     waits_until: Duration,
-) -> Outlook {
+) -> ServiceAvailability {
     let gateway = &call.gateway;
     let now = gateway.now();
     let (all_have_left, ready) = {
@@ -63,13 +66,13 @@
     };
     if all_have_left && gateway.store.is_store_away(Subject::Endpoints) {
         let until = now + LIST_AWAY;
-        return Outlook::Closed { until };
+        return ServiceAvailability::Unavailable { until };
     }
     let closed_until = ready.iter().map(|endpoint| {
-        let rests_until = gateway.words.rests.lock().until(endpoint, now);
+        let rests_until = gateway.words.rests.lock().ends_at(endpoint, now);
         rests_until.max(gateway.words.permits.none_before(endpoint))
     });
-    Outlook::of(closed_until, waits_until)
+    ServiceAvailability::for_request(closed_until, waits_until)
 }
 
 /// Whether another endpoint may be asked than those that were tried.
@@ -83,11 +86,12 @@
 /// When a caller is to come back where no endpoint of the service is to be had for now; nothing where some are, or may be heard of at any moment.
 pub(super) fn come_back_after(call: &Call) -> Option<Duration> {
     match outlook(call, |_| false, Duration::ZERO) {
-        Outlook::Open => None,
-        Outlook::Opens { at: until } | Outlook::Closed { until } => {
+        ServiceAvailability::Available => None,
+        ServiceAvailability::AvailableAt { at: until }
+        | ServiceAvailability::Unavailable { until } => {
             let left = until.saturating_sub(call.gateway.now());
             let left = left.max(COME_BACK_MIN);
-            Some(left.mul_f64(rand::rng().random_range(1.0..COME_BACK_SPREAD)))
+            Some(left.mul_f64(rand::rng().random_range(1.0..RETRY_AFTER_SPREAD)))
         }
     }
 }
--- a/src/kernel/cooldown.rs
+++ b/src/kernel/cooldown.rs
@@ -1,123 +1,134 @@
 //! Endpoints that asked this instance to send them nothing for a while.
 //!
-//! The load that this answers: endpoints that turn most of what they get away, while others have room. A refusal that is forgotten with its request costs
-//! the next one the same vain send and one of the repeats that the service is allowed.
+//! This matters when some endpoints reject most of their requests while others have capacity.
+//! Without a cooldown every further request would repeat the futile attempt and use up one of the
+//! retries that the service is allowed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// No rest is longer, whatever was asked: a day, far above the life of an endpoint's overload. It keeps times within what a clock can hold.
-pub const REST_MAX: Duration = Duration::from_hours(24);
-/// Requests that may reach an endpoint while it rests; users allow so many. They are spent on what runs there already - to move it away, or to go on with
-/// it - and never on new work.
-pub const RELIEF_MAX: u32 = 2;
-/// Callers who are told to come back after a rest come within its end and this many times what is left of it, so that they do not come together.
-pub const COME_BACK_SPREAD: f64 = 1.3;
+/// The longest cooldown, whatever the endpoint asks for. A day is far longer than an overload
+/// lasts, and it keeps times within the range of the clock.
+pub const COOLDOWN_MAX: Duration = Duration::from_hours(24);
+/// Requests that may reach an endpoint during one cooldown; users accept this many. They are
+/// reserved for work that already runs there, to move or to resume it, and never used for new work.
+pub const EXEMPT_REQUESTS_MAX: u32 = 2;
+/// Clients that are told to retry after a cooldown are spread between its end and this multiple of
+/// the remaining time, so that they do not all return at once.
+pub const RETRY_AFTER_SPREAD: f64 = 1.3;
 
-/// An endpoint that rests.
+/// The cooldown of one endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Rest {
+struct Cooldown {
     until: Duration,
-    /// Never above [`RELIEF_MAX`].
-    relief_spent: u32,
+    /// Never above [`EXEMPT_REQUESTS_MAX`].
+    exempt_used: u32,
 }
 
-/// The endpoints that asked for rest, by start. One entry for each that is known, at most.
+/// The endpoints that asked for a cooldown, by incarnation. At most one entry for each known
+/// endpoint.
 #[derive(Debug, Default)]
-pub struct Rests {
-    rests: BTreeMap<String, Rest>,
+pub struct EndpointCooldowns {
+    cooldowns: BTreeMap<String, Cooldown>,
 }
 
-impl Rests {
-    /// An endpoint asks for rest. Of two that overlap the later end holds. Gives whether it did not rest before.
-    pub fn ask(&mut self, endpoint: &str, rest: Duration, now: Duration) -> bool {
-        let until = now.saturating_add(rest.min(REST_MAX));
+impl EndpointCooldowns {
+    /// Starts or extends the cooldown of an endpoint; of two that overlap, the later end applies.
+    /// Returns whether the endpoint was not cooling down before.
+    pub fn start(&mut self, endpoint: &str, cooldown: Duration, now: Duration) -> bool {
+        let until = now.saturating_add(cooldown.min(COOLDOWN_MAX));
         if until <= now {
             return false;
         }
-        let is_news = !self.is_resting(endpoint, now);
-        if is_news {
-            self.rests.remove(endpoint);
+        let is_new = !self.is_cooling_down(endpoint, now);
+        if is_new {
+            self.cooldowns.remove(endpoint);
         }
-        let kept = self.rests.entry(endpoint.to_owned());
-        let kept = kept.or_insert(Rest {
+        let entry = self.cooldowns.entry(endpoint.to_owned());
+        let entry = entry.or_insert(Cooldown {
             until,
-            relief_spent: 0,
+            exempt_used: 0,
         });
-        kept.until = kept.until.max(until);
-        is_news
+        entry.until = entry.until.max(until);
+        is_new
     }
 
-    /// Until when an endpoint rests; nothing where it does not.
+    /// Returns until when an endpoint is cooling down; `None` if it is not.
     #[must_use]
-    pub fn until(&self, endpoint: &str, now: Duration) -> Option<Duration> {
-        let rest = self.rests.get(endpoint)?;
-        (now < rest.until).then_some(rest.until)
+    pub fn ends_at(&self, endpoint: &str, now: Duration) -> Option<Duration> {
+        let cooldown = self.cooldowns.get(endpoint)?;
+        (now < cooldown.until).then_some(cooldown.until)
     }
 
-    /// Whether an endpoint rests.
+    /// Returns whether an endpoint is cooling down.
     #[must_use]
-    pub fn is_resting(&self, endpoint: &str, now: Duration) -> bool {
-        self.until(endpoint, now).is_some()
+    pub fn is_cooling_down(&self, endpoint: &str, now: Duration) -> bool {
+        self.ends_at(endpoint, now).is_some()
     }
 
-    /// Endpoints that rest.
-    pub fn resting(&self, now: Duration) -> impl Iterator<Item = &str> {
-        let rests = self.rests.iter();
-        let resting = rests.filter(move |(_, rest)| now < rest.until);
-        resting.map(|(endpoint, _)| endpoint.as_str())
+    /// Returns the endpoints that are cooling down.
+    pub fn cooling_down(&self, now: Duration) -> impl Iterator<Item = &str> {
+        let cooldowns = self.cooldowns.iter();
+        let cooling_down = cooldowns.filter(move |(_, cooldown)| now < cooldown.until);
+        cooling_down.map(|(endpoint, _)| endpoint.as_str())
     }
 
-    /// Whether a request may go to an endpoint for what runs there already. Counts it where the endpoint rests.
-    pub fn admits_relief(&mut self, endpoint: &str, now: Duration) -> bool {
-        let rest = self.rests.get_mut(endpoint);
-        let Some(rest) = rest.filter(|rest| now < rest.until) else {
+    /// Returns whether a request for work that already runs on an endpoint may be sent to it.
+    /// During a cooldown the request counts against [`EXEMPT_REQUESTS_MAX`].
+    pub fn try_admit_exempt(&mut self, endpoint: &str, now: Duration) -> bool {
+        let cooldown = self.cooldowns.get_mut(endpoint);
+        let Some(cooldown) = cooldown.filter(|cooldown| now < cooldown.until) else {
             return true;
         };
-        let admitted = rest.relief_spent < RELIEF_MAX;
-        rest.relief_spent += u32::from(admitted);
-        admitted
+        let is_admitted = cooldown.exempt_used < EXEMPT_REQUESTS_MAX;
+        cooldown.exempt_used += u32::from(is_admitted);
+        is_admitted
     }
 
-    /// Forgets rests that are over, and endpoints that are gone.
-    pub fn tidy(&mut self, is_known: impl Fn(&str) -> bool, now: Duration) {
-        let rests = &mut self.rests;
-        rests.retain(|endpoint, rest| now < rest.until && is_known(endpoint));
+    /// Removes cooldowns that are over and endpoints that are gone.
+    pub fn prune(&mut self, is_known: impl Fn(&str) -> bool, now: Duration) {
+        let cooldowns = &mut self.cooldowns;
+        cooldowns.retain(|endpoint, cooldown| now < cooldown.until && is_known(endpoint));
     }
 }
 
-/// What a service can do for one more request.
+/// Whether a service can accept one more request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outlook {
-    /// Some endpoint does not rest; or there is none, which is another matter.
-    Open,
-    /// All rest, and the first one is to be had in time.
-    Opens {
-        /// When.
+pub enum ServiceAvailability {
+    /// At least one endpoint is not cooling down, or the service has no endpoints, which is handled
+    /// elsewhere.
+    Available,
+    /// All endpoints are cooling down, and the first becomes available in time.
+    AvailableAt {
+        /// When the first endpoint becomes available.
         at: Duration,
     },
-    /// All rest for too long.
-    Closed {
-        /// When the first one is to be had.
+    /// All endpoints are cooling down for longer than the request can wait.
+    Unavailable {
+        /// When the first endpoint becomes available.
         until: Duration,
     },
 }
 
-impl Outlook {
-    /// The outlook for a request that can wait until a time. `rests` tells of each endpoint that takes work until when it rests.
+impl ServiceAvailability {
+    /// Returns the availability for a request that can wait until `waits_until`. `unavailable_until` holds,
+    /// for each endpoint that accepts work, until when it is unavailable; `None` if it is available.
     #[must_use]
-    pub fn of(rests: impl IntoIterator<Item = Option<Duration>>, waits_until: Duration) -> Self {
-        let mut first: Option<Duration> = None;
-        for rest in rests {
-            let Some(until) = rest else {
-                return Self::Open;
+    pub fn for_request(
+        unavailable_until: impl IntoIterator<Item = Option<Duration>>,
+        waits_until: Duration,
+    ) -> Self {
+        let mut earliest: Option<Duration> = None;
+        for until in unavailable_until {
+            let Some(until) = until else {
+                return Self::Available;
             };
-            first = Some(first.map_or(until, |first| first.min(until)));
+            earliest = Some(earliest.map_or(until, |earliest| earliest.min(until)));
         }
-        match first {
-            None => Self::Open,
-            Some(at) if at <= waits_until => Self::Opens { at },
-            Some(until) => Self::Closed { until },
+        match earliest {
+            None => Self::Available,
+            Some(at) if at <= waits_until => Self::AvailableAt { at },
+            Some(until) => Self::Unavailable { until },
         }
     }
 }
--- a/tests/kernel/cooldown.rs
+++ b/tests/kernel/cooldown.rs
@@ -1,8 +1,10 @@
-//! Rests that endpoints ask for.
+//! Cooldowns that endpoints ask for.
 
 use std::time::Duration;
 
-use larkwick::kernel::cooldown::{Outlook, RELIEF_MAX, REST_MAX, Rests};
+use larkwick::kernel::cooldown::{
+    COOLDOWN_MAX, EXEMPT_REQUESTS_MAX, EndpointCooldowns, ServiceAvailability,
+};
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -15,71 +17,89 @@
 }
 
 #[test]
-fn ask_until_its_end_and_no_longer() {
-    let mut rests = Rests::default();
-    assert!(rests.ask("e", seconds(3), NOW));
-    assert!(rests.is_resting("e", after(2)));
-    assert!(!rests.is_resting("e", after(3)));
-    assert!(!rests.is_resting("other", NOW));
+fn start_lasts_until_its_end() {
+    let mut cooldowns = EndpointCooldowns::default();
+    assert!(cooldowns.start("e", seconds(3), NOW));
+    assert!(cooldowns.is_cooling_down("e", after(2)));
+    assert!(!cooldowns.is_cooling_down("e", after(3)));
+    assert!(!cooldowns.is_cooling_down("other", NOW));
 }
 
 #[test]
-fn ask_shorter_one_after_a_longer_the_longer_holds() {
-    let mut rests = Rests::default();
-    rests.ask("e", seconds(5), NOW);
-    assert!(!rests.ask("e", seconds(1), after(1)), "no news");
-    assert_eq!(rests.until("e", after(2)), Some(after(5)));
-    rests.ask("e", seconds(5), after(2));
-    assert_eq!(rests.until("e", after(2)), Some(after(7)));
+fn start_shorter_after_longer_keeps_the_later_end() {
+    let mut cooldowns = EndpointCooldowns::default();
+    cooldowns.start("e", seconds(5), NOW);
+    assert!(
+        !cooldowns.start("e", seconds(1), after(1)),
+        "already cooling down"
+    );
+    assert_eq!(cooldowns.ends_at("e", after(2)), Some(after(5)));
+    cooldowns.start("e", seconds(5), after(2));
+    assert_eq!(cooldowns.ends_at("e", after(2)), Some(after(7)));
 }
 
 #[test]
-fn ask_for_nothing_or_for_ever_bounded() {
-    let mut rests = Rests::default();
-    assert!(!rests.ask("e", Duration::ZERO, NOW));
-    assert!(!rests.is_resting("e", NOW));
-    rests.ask("e", Duration::MAX, NOW);
-    assert_eq!(rests.until("e", NOW), Some(NOW + REST_MAX));
+fn start_zero_or_endless_bounded() {
+    let mut cooldowns = EndpointCooldowns::default();
+    assert!(!cooldowns.start("e", Duration::ZERO, NOW));
+    assert!(!cooldowns.is_cooling_down("e", NOW));
+    cooldowns.start("e", Duration::MAX, NOW);
+    assert_eq!(cooldowns.ends_at("e", NOW), Some(NOW + COOLDOWN_MAX));
 }
 
 #[test]
-fn admits_relief_no_more_than_allowed_in_one_rest() {
-    let mut rests = Rests::default();
-    rests.ask("e", seconds(3), NOW);
-    let admitted = (0..10).filter(|_| rests.admits_relief("e", NOW));
-    assert_eq!(admitted.count(), RELIEF_MAX as usize);
-    rests.ask("e", seconds(3), after(1));
-    assert!(!rests.admits_relief("e", after(3)), "the same rest, longer");
-    assert!(rests.admits_relief("e", after(4)), "it does not rest");
-    rests.ask("e", seconds(3), after(9));
-    assert!(rests.admits_relief("e", after(9)), "another rest");
+fn try_admit_exempt_limited_in_one_cooldown() {
+    let mut cooldowns = EndpointCooldowns::default();
+    cooldowns.start("e", seconds(3), NOW);
+    let admitted = (0..10).filter(|_| cooldowns.try_admit_exempt("e", NOW));
+    assert_eq!(admitted.count(), EXEMPT_REQUESTS_MAX as usize);
+    cooldowns.start("e", seconds(3), after(1));
+    assert!(
+        !cooldowns.try_admit_exempt("e", after(3)),
+        "the same cooldown, extended"
+    );
+    assert!(
+        cooldowns.try_admit_exempt("e", after(4)),
+        "not cooling down"
+    );
+    cooldowns.start("e", seconds(3), after(9));
+    assert!(cooldowns.try_admit_exempt("e", after(9)), "a new cooldown");
 }
 
 #[test]
-fn tidy_over_or_gone_forgotten() {
-    let mut rests = Rests::default();
-    for (endpoint, rest) in [("over", 1), ("gone", 9), ("rests", 9)] {
-        rests.ask(endpoint, seconds(rest), NOW);
+fn prune_over_or_gone_removed() {
+    let mut cooldowns = EndpointCooldowns::default();
+    for (endpoint, cooldown) in [("over", 1), ("gone", 9), ("cooling", 9)] {
+        cooldowns.start(endpoint, seconds(cooldown), NOW);
     }
-    rests.tidy(|endpoint| endpoint != "gone", after(2));
-    let left: Vec<&str> = rests.resting(NOW).collect();
-    assert_eq!(left, ["rests"]);
+    cooldowns.prune(|endpoint| endpoint != "gone", after(2));
+    let left: Vec<&str> = cooldowns.cooling_down(NOW).collect();
+    assert_eq!(left, ["cooling"]);
 }
 
 #[test]
-fn outlook_open_while_one_does_not_rest() {
-    let rests = [Some(after(3)), None];
-    assert_eq!(Outlook::of(rests, after(9)), Outlook::Open);
-    assert_eq!(Outlook::of([], after(9)), Outlook::Open);
+fn for_request_one_endpoint_available() {
+    let cooldowns = [Some(after(3)), None];
+    assert_eq!(
+        ServiceAvailability::for_request(cooldowns, after(9)),
+        ServiceAvailability::Available
+    );
+    assert_eq!(
+        ServiceAvailability::for_request([], after(9)),
+        ServiceAvailability::Available
+    );
 }
 
 #[test]
-fn outlook_all_rest_first_end_decides() {
-    let rests = [Some(after(3)), Some(after(2))];
+fn for_request_all_cooling_down_earliest_end_decides() {
+    let cooldowns = [Some(after(3)), Some(after(2))];
+    assert_eq!(
+        ServiceAvailability::for_request(cooldowns, after(2)),
+        ServiceAvailability::AvailableAt { at: after(2) }
+    );
+    let unavailable = ServiceAvailability::Unavailable { until: after(2) };
     assert_eq!(
-        Outlook::of(rests, after(2)),
-        Outlook::Opens { at: after(2) }
+        ServiceAvailability::for_request(cooldowns, after(1)),
+        unavailable
     );
-    let closed = Outlook::Closed { until: after(2) };
-    assert_eq!(Outlook::of(rests, after(1)), closed);
 }
