--- a/benches/resting.rs
+++ b/benches/resting.rs
@@ -84,7 +84,7 @@
     fn new(seed: u64, heeds: Heeds, day: Day) -> Self {
         let instance = || Instance {
             rests: EndpointCooldowns::default(),
-            budget: ALLOWANCE.budget_of_one(day.instances),
+            budget: ALLOWANCE.instance_budget(day.instances),
             in_rest: [0; ENGINES],
         };
         Self {
@@ -145,10 +145,10 @@
     fn generation(&mut self, now: Duration) {
         self.outcome.asked += 1.0;
         let instance = self.random.random_range(0..self.instances.len());
-        self.instances[instance].budget.first_try();
+        self.instances[instance].budget.record_first_attempt();
         let mut excluded = Vec::new();
         for offer in 0..OFFERS_MAX {
-            if offer > 0 && !self.instances[instance].budget.take_retry() {
+            if offer > 0 && !self.instances[instance].budget.try_spend() {
                 break;
             }
             let Some(engine) = self.choose(instance, &excluded, now) else {
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -220,13 +220,16 @@
     /// Counts a first try of an account.
     pub(crate) fn count_first_try(&self, account: &str) {
         let mut retries = self.retries.lock();
-        retries.entry(account.to_owned()).or_default().first_try();
+        retries
+            .entry(account.to_owned())
+            .or_default()
+            .record_first_attempt();
     }
 
     /// Takes a retry from an account's budget.
     pub(crate) fn take_retry(&self, account: &str) -> bool {
         let mut retries = self.retries.lock();
-        let taken = retries.entry(account.to_owned()).or_default().take_retry();
+        let taken = retries.entry(account.to_owned()).or_default().try_spend();
         metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
         taken
     }
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -268,10 +268,10 @@
     loop {
         while let Err(error) = gateway.store.announce(&entry).await {
             warn!("own entry not written", kv: { why: = error });
-            let pause = pause.failed(rand::rng().random_range(0.0..1.0));
+            let pause = pause.next_pause(rand::rng().random_range(0.0..1.0));
             tokio::time::sleep(pause).await;
         }
-        pause.succeeded();
+        pause.reset();
         // The store may come back from a copy that lacks it.
         gateway.entry_lost.notified().await;
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -57,7 +57,7 @@
     }
 
     fn answered(&mut self, gateway: &Gateway) {
-        self.pause.succeeded();
+        self.pause.reset();
         let Some(since) = self.lost_since.take() else {
             return;
         };
@@ -72,7 +72,7 @@
             self.lost_since = Some(gateway.now());
             warn!("store lost", kv: { subject = self.subject.name(), why: = error });
         }
-        let pause = self.pause.failed(rand::rng().random_range(0.0..1.0));
+        let pause = self.pause.next_pause(rand::rng().random_range(0.0..1.0));
         let knows_nothing = gateway.store.knows_nothing(self.subject);
         let pause_max = if knows_nothing {
             PAUSE_UNKNOWN
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -381,14 +381,14 @@
 
     /// Counts a first send to a service.
     pub(crate) fn count_first_send(&self, service: &str) {
-        self.with_budget(service, RetryBudget::first_try);
+        self.with_budget(service, RetryBudget::record_first_attempt);
     }
 
     /// Takes a repeat from the budget of a service.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         // Who does not know the members does not know its part.
         let knows_members = !self.store.knows_nothing(Subject::Members);
-        let taken = knows_members && self.with_budget(service, RetryBudget::take_retry);
+        let taken = knows_members && self.with_budget(service, RetryBudget::try_spend);
         metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
         taken
     }
@@ -404,17 +404,17 @@
             };
             (allowance, routing.retry_window())
         };
-        let part = allowance.budget_of_one(instances);
+        let part = allowance.instance_budget(instances);
         let is_young = self.now().saturating_sub(self.started_at) < window;
         let mut retries = self.retries.lock();
         let repeats = retries.entry(service.to_owned());
         let repeats = repeats.or_insert_with(|| ServiceRepeats {
-            budget: part.emptied(),
+            budget: part.without_slack(),
             is_filled: false,
         });
-        repeats.budget.keep_to(part);
+        repeats.budget.adjust_to(part);
         if !repeats.is_filled && !is_young {
-            repeats.budget.fill();
+            repeats.budget.fill_up();
             repeats.is_filled = true;
         }
         change(&mut repeats.budget)
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -258,12 +258,12 @@
             () = gateway.suspects_changed.notified() => {}
         }
         match keep_all(&gateway).await {
-            Ok(()) => pause.succeeded(),
+            Ok(()) => pause.reset(),
             Err(why) => {
                 if crate::log::admits("content not kept") {
                     warn!("content not kept", kv: { why = why.as_str() });
                 }
-                let pause = pause.failed(rand::rng().random_range(0.0..1.0));
+                let pause = pause.next_pause(rand::rng().random_range(0.0..1.0));
                 tokio::time::sleep(pause).await;
                 gateway.suspects_changed.notify_one();
             }
--- a/src/kernel/backoff.rs
+++ b/src/kernel/backoff.rs
@@ -1,36 +1,37 @@
-//! Pauses that grow while something keeps failing.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// Doubling pauses between two bounds.
+/// Pauses that double from a minimum to a maximum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
-    /// Between `first` and `longest`.
-    next: Duration,
+    initial: Duration,
+    max: Duration,
+    /// Between `initial` and `max`.
+    next_max: Duration,
 }
 
 impl Backoff {
-    /// Pauses that begin with one length and double up to another.
+    /// Creates a backoff whose pauses start at `initial` and double up to `max`.
     #[must_use]
-    pub const fn new(first: Duration, longest: Duration) -> Self {
+    pub const fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            longest,
-            next: first,
+            initial,
+            max,
+            next_max: initial,
         }
     }
 
-    /// The pause after a further failure. `drawn`, from 0 to 1, spreads those who fail together over the upper half of it.
-    pub fn failed(&mut self, drawn: f64) -> Duration {
-        let pause = self.next.mul_f64(0.5 + 0.5 * drawn.clamp(0.0, 1.0));
-        self.next = (self.next * 2).min(self.longest);
+    /// Returns the pause after a further failure. `jitter`, from 0 to 1, spreads clients that fail
+    /// together over the upper half of the pause.
+    pub fn next_pause(&mut self, jitter: f64) -> Duration {
+        let pause = self.next_max.mul_f64(0.5 + 0.5 * jitter.clamp(0.0, 1.0));
+        self.next_max = (self.next_max * 2).min(self.max);
         pause
     }
 
-    /// It works again.
-    pub fn succeeded(&mut self) {
-        self.next = self.first;
+    /// Resets the pause after a success.
+    pub fn reset(&mut self) {
+        self.next_max = self.initial;
     }
 }
--- a/src/kernel/retry.rs
+++ b/src/kernel/retry.rs
@@ -1,15 +1,17 @@
-//! Retry budget: retries are a small share of first tries, so that they cannot multiply an overload.
+//! Retry budgets: they keep retries to a small fraction of the first attempts, so that retries
+//! cannot amplify an overload.
 
 use std::time::Duration;
 
-/// Tokens earned by each first try, in thousandths of a retry.
-const EARNED_PER_TRY_MILLI: u64 = 100;
+/// Balance earned by each first attempt, in thousandths of a retry.
+const EARNED_PER_ATTEMPT_MILLI: u64 = 100;
 const RETRY_COST_MILLI: u64 = 1_000;
 const BALANCE_MAX_MILLI: u64 = 10_000;
-/// Part of a site's allowance that instances use: requests are counted a little differently by each side.
-const ALLOWANCE_USED: f64 = 0.8;
+/// Fraction of a site's allowance that the instances use. It leaves a margin because the site and
+/// the instances count requests slightly differently.
+const ALLOWANCE_FRACTION: f64 = 0.8;
 
-/// A retry budget of one client account, service or endpoint.
+/// The retry budget of one client account, service or endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[expect(
     clippy::struct_field_names,
@@ -19,7 +21,7 @@
     /// Never above `balance_max_milli`.
     balance_milli: u64,
     balance_max_milli: u64,
-    earned_per_try_milli: u64,
+    earned_per_attempt_milli: u64,
 }
 
 impl Default for RetryBudget {
@@ -27,69 +29,75 @@
         Self {
             balance_milli: BALANCE_MAX_MILLI,
             balance_max_milli: BALANCE_MAX_MILLI,
-            earned_per_try_milli: EARNED_PER_TRY_MILLI,
+            earned_per_attempt_milli: EARNED_PER_ATTEMPT_MILLI,
         }
     }
 }
 
-/// What a site allows all its instances together in any window: a share of the requests, and a number on top.
+/// The retries that a site allows all its instances together in any window: a fraction of the
+/// requests plus a constant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryAllowance {
-    /// Share of the requests, from 0 to 1.
+    /// Fraction of the requests, from 0 to 1.
     pub share: f64,
-    /// On top of that, in each window; not a whole number where a deployment is a part of another one.
+    /// Constant number of retries per window. Not a whole number if a deployment is a part of
+    /// another one.
     pub slack: f64,
 }
 
 impl RetryAllowance {
-    /// The budget of one of so many instances: whatever the window, what it takes stays within its part.
+    /// Returns the budget of one of `instances` instances. Over any window it spends no more than
+    /// its share of the allowance.
     #[must_use]
-    pub fn budget_of_one(self, instances: usize) -> RetryBudget {
+    pub fn instance_budget(self, instances: usize) -> RetryBudget {
         let instances = f64::from(u32::try_from(instances.max(1)).unwrap_or(u32::MAX));
         let milli = |retries: f64| {
             let duration = Duration::try_from_secs_f64(retries.max(0.0)).unwrap_or_default();
             crate::kernel::clock::millis(duration)
         };
-        let balance_max_milli = milli(self.slack * ALLOWANCE_USED / instances);
+        let balance_max_milli = milli(self.slack * ALLOWANCE_FRACTION / instances);
         RetryBudget {
             balance_milli: balance_max_milli,
             balance_max_milli,
-            earned_per_try_milli: milli(self.share * ALLOWANCE_USED),
+            earned_per_attempt_milli: milli(self.share * ALLOWANCE_FRACTION),
         }
     }
 }
 
 impl RetryBudget {
-    /// The budget of an instance that has just started: what was on top may have been spent here before the start.
+    /// Returns the initial budget of a restarted instance. It has no slack, because the previous
+    /// incarnation may have spent it already.
     #[must_use]
-    pub fn emptied(self) -> Self {
+    pub fn without_slack(self) -> Self {
         Self {
             balance_milli: 0,
             ..self
         }
     }
 
-    /// The span is over in which an earlier start may have spent what is on top.
-    pub fn fill(&mut self) {
+    /// Fills the budget, once the window is over in which a previous incarnation may have spent the
+    /// slack.
+    pub fn fill_up(&mut self) {
         self.balance_milli = self.balance_max_milli;
     }
 
-    /// From now on its part is another one, for another number of instances. What is left of a larger one goes to the others; a smaller one grows by what
-    /// is earned.
-    pub fn keep_to(&mut self, part: Self) {
-        self.balance_max_milli = part.balance_max_milli;
-        self.earned_per_try_milli = part.earned_per_try_milli;
+    /// Adjusts the budget to another number of instances. If its share shrinks, the excess balance
+    /// is dropped and goes to the other instances; if its share grows, the balance grows only by
+    /// what is earned.
+    pub fn adjust_to(&mut self, target: Self) {
+        self.balance_max_milli = target.balance_max_milli;
+        self.earned_per_attempt_milli = target.earned_per_attempt_milli;
         self.balance_milli = self.balance_milli.min(self.balance_max_milli);
     }
 
-    /// Counts a first try.
-    pub fn first_try(&mut self) {
-        let earned = self.balance_milli + self.earned_per_try_milli;
+    /// Records a first attempt.
+    pub fn record_first_attempt(&mut self) {
+        let earned = self.balance_milli + self.earned_per_attempt_milli;
         self.balance_milli = earned.min(self.balance_max_milli);
     }
 
-    /// Takes one retry from the budget, if there is one.
-    pub fn take_retry(&mut self) -> bool {
+    /// Spends one retry; returns whether the budget allowed it.
+    pub fn try_spend(&mut self) -> bool {
         if self.balance_milli < RETRY_COST_MILLI {
             return false;
         }
--- a/src/kernel/store_sources.rs
+++ b/src/kernel/store_sources.rs
@@ -134,7 +134,7 @@
             paused_until: now,
             backoff: Backoff::new(first, longest),
         });
-        failed.paused_until = now + failed.backoff.failed(drawn);
+        failed.paused_until = now + failed.backoff.next_pause(drawn);
     }
 
     /// A source answered.
--- a/tests/kernel/group.rs
+++ b/tests/kernel/group.rs
@@ -245,10 +245,10 @@
 #[test]
 fn retry_budget_share_of_first_tries() {
     let mut budget = RetryBudget::default();
-    while budget.take_retry() {}
+    while budget.try_spend() {}
     for _ in 0..100 {
-        budget.first_try();
+        budget.record_first_attempt();
     }
-    let retries = (0..100).filter(|_| budget.take_retry()).count();
+    let retries = (0..100).filter(|_| budget.try_spend()).count();
     assert_eq!(retries, 10);
 }
--- a/tests/kernel/retry.rs
+++ b/tests/kernel/retry.rs
@@ -1,4 +1,4 @@
-//! Repeats that a site allows all its instances together.
+//! Retry budgets of the instances of a site.
 
 use larkwick::kernel::retry::{RetryAllowance, RetryBudget};
 
@@ -7,44 +7,44 @@
     slack: 60.0,
 };
 
-/// Repeats that a budget has left.
-fn spend(budget: &mut RetryBudget) -> u32 {
+/// Spends all that a budget has left and returns the number of retries.
+fn spend_all(budget: &mut RetryBudget) -> u32 {
     let mut spent = 0;
-    while budget.take_retry() {
+    while budget.try_spend() {
         spent += 1;
     }
     spent
 }
 
 #[test]
-fn keep_to_others_join_the_parts_add_up_to_the_whole() {
-    let mut first = ALLOWANCE.budget_of_one(1);
-    first.keep_to(ALLOWANCE.budget_of_one(4));
-    let mut others = [ALLOWANCE.budget_of_one(4); 3];
-    let spent: u32 = spend(&mut first) + others.iter_mut().map(spend).sum::<u32>();
+fn adjust_to_more_instances_shares_stay_within_allowance() {
+    let mut first = ALLOWANCE.instance_budget(1);
+    first.adjust_to(ALLOWANCE.instance_budget(4));
+    let mut others = [ALLOWANCE.instance_budget(4); 3];
+    let spent: u32 = spend_all(&mut first) + others.iter_mut().map(spend_all).sum::<u32>();
     assert!(spent <= 48, "{spent}");
 }
 
 #[test]
-fn keep_to_others_leave_what_was_spent_does_not_come_back() {
-    let mut budget = ALLOWANCE.budget_of_one(4);
-    assert_eq!(spend(&mut budget), 12);
-    budget.keep_to(ALLOWANCE.budget_of_one(2));
-    assert_eq!(spend(&mut budget), 0);
+fn adjust_to_fewer_instances_spent_retries_not_restored() {
+    let mut budget = ALLOWANCE.instance_budget(4);
+    assert_eq!(spend_all(&mut budget), 12);
+    budget.adjust_to(ALLOWANCE.instance_budget(2));
+    assert_eq!(spend_all(&mut budget), 0);
     for _ in 0..1_000 {
-        budget.first_try();
+        budget.record_first_attempt();
     }
-    assert_eq!(spend(&mut budget), 24, "as much as its part is now");
+    assert_eq!(spend_all(&mut budget), 24, "its new share");
 }
 
 #[test]
-fn emptied_has_only_what_it_earns_until_it_is_filled() {
-    let mut budget = ALLOWANCE.budget_of_one(4).emptied();
-    assert_eq!(spend(&mut budget), 0);
+fn without_slack_only_earned_retries_until_filled() {
+    let mut budget = ALLOWANCE.instance_budget(4).without_slack();
+    assert_eq!(spend_all(&mut budget), 0);
     for _ in 0..20 {
-        budget.first_try();
+        budget.record_first_attempt();
     }
-    assert_eq!(spend(&mut budget), 3, "0.16 each");
-    budget.fill();
-    assert_eq!(spend(&mut budget), 12);
+    assert_eq!(spend_all(&mut budget), 3, "0.16 earned by each");
+    budget.fill_up();
+    assert_eq!(spend_all(&mut budget), 12);
 }
--- a/tests/kernel/site_rules.rs
+++ b/tests/kernel/site_rules.rs
@@ -143,14 +143,14 @@
     #[test]
     fn budget_of_one_all_instances_within_the_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
         let allowance = RetryAllowance { share: 0.2, slack: 58.0 };
-        let mut budgets = [allowance.budget_of_one(9); 9];
+        let mut budgets = [allowance.instance_budget(9); 9];
         let (mut requests, mut repeats) = (0_u32, 0_u32);
         for (instance, repeat) in steps {
             if repeat {
-                repeats += u32::from(budgets[instance].take_retry());
+                repeats += u32::from(budgets[instance].try_spend());
             } else {
                 requests += 1;
-                budgets[instance].first_try();
+                budgets[instance].record_first_attempt();
             }
             prop_assert!(f64::from(repeats) <= 0.2 * f64::from(requests) + 58.0);
         }
--- a/tests/kernel/store_sources.rs
+++ b/tests/kernel/store_sources.rs
@@ -154,11 +154,11 @@
 #[test]
 fn failed_pauses_double_to_the_longest_and_begin_anew() {
     let mut backoff = Backoff::new(ms(100), ms(350));
-    let pauses: Vec<Duration> = (0..4).map(|_| backoff.failed(1.0)).collect();
+    let pauses: Vec<Duration> = (0..4).map(|_| backoff.next_pause(1.0)).collect();
     assert_eq!(pauses, [ms(100), ms(200), ms(350), ms(350)]);
-    assert_eq!(backoff.failed(0.0), ms(175));
-    backoff.succeeded();
-    assert_eq!(backoff.failed(1.0), ms(100));
+    assert_eq!(backoff.next_pause(0.0), ms(175));
+    backoff.reset();
+    assert_eq!(backoff.next_pause(1.0), ms(100));
 }
 
 const LARGE: usize = 295;
