--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -336,6 +336,6 @@
         gateway
             .health
             .lock()
-            .retain(|endpoint| known.contains(endpoint));
+            .prune(|endpoint| known.contains(endpoint));
     }
 }
--- a/src/gateway/broken_off.rs
+++ b/src/gateway/broken_off.rs
@@ -128,7 +128,7 @@
             gateway.runs.note_not_taken(service, id, true);
             gateway.ledgers.changed.notify_one();
         } else {
-            gateway.health.lock().note_absent(id, gateway.now());
+            gateway.health.lock().record_absent(id, gateway.now());
         }
     }
 
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -83,7 +83,7 @@
         let health = gateway.health.lock();
         let rests = gateway.words.rests.lock();
         let dumped = fleet.into_iter().map(|(entry, standing)| {
-            let failures_share = health.failures(&entry.id, now);
+            let failures_share = health.failure_rate(&entry.id, now);
             let calls_in_flight = health.in_flight(&entry.id);
             let rests_until = rests.ends_at(&entry.id, now).unwrap_or_default();
             let limit_per_s = gateway.words.permits.limit_per_s(&entry.id);
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -148,7 +148,7 @@
         drop(health);
         if matches!(attempt, Attempt::Misdirected) {
             let now = call.gateway.now();
-            call.gateway.health.lock().note_absent(&endpoint.id, now);
+            call.gateway.health.lock().record_absent(&endpoint.id, now);
         }
         match attempt {
             Attempt::Answered(answer) => {
@@ -286,7 +286,7 @@
 impl<'a> HealthGuard<'a> {
     fn begin(gateway: &'a Gateway, endpoint: &'a EndpointEntry) -> Self {
         let begun = gateway.now();
-        gateway.health.lock().begin(&endpoint.id, begun);
+        gateway.health.lock().record_start(&endpoint.id, begun);
         Self {
             gateway,
             endpoint,
@@ -300,7 +300,7 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut health = self.gateway.health.lock();
-        health.end(&self.endpoint.id, self.begun, self.failed, now);
+        health.record_end(&self.endpoint.id, self.begun, self.failed, now);
     }
 }
 
--- a/tests/kernel/site_rules.rs
+++ b/tests/kernel/site_rules.rs
@@ -187,10 +187,10 @@
     let mut health = EndpointHealth::default();
     let now = Duration::from_secs(10);
     for _ in 0..8 {
-        health.begin("grey", now);
-        health.end("grey", now, Some(true), now);
-        health.begin("sound", now);
-        health.end("sound", now, Some(false), now);
+        health.record_start("grey", now);
+        health.record_end("grey", now, Some(true), now);
+        health.record_start("sound", now);
+        health.record_end("sound", now, Some(false), now);
     }
     let weight = |name, at| health.weight(name, 6, LATE_AFTER, at);
     assert!(weight("grey", now) * 100.0 < weight("sound", now));
@@ -202,7 +202,7 @@
 fn weight_load_of_this_instance_counts() {
     let mut health = EndpointHealth::default();
     for _ in 0..6 {
-        health.begin("busy", Duration::ZERO);
+        health.record_start("busy", Duration::ZERO);
     }
     let weight = |name| health.weight(name, 6, LATE_AFTER, Duration::ZERO);
     assert!(weight("busy") * 2.0 < weight("idle"));
@@ -212,15 +212,15 @@
 #[test]
 fn weight_late_call_counts_before_it_has_failed() {
     let mut health = EndpointHealth::default();
-    health.begin("hangs", Duration::ZERO);
-    health.begin("quick", Duration::ZERO);
-    health.end(
+    health.record_start("hangs", Duration::ZERO);
+    health.record_start("quick", Duration::ZERO);
+    health.record_end(
         "quick",
         Duration::ZERO,
         Some(false),
         Duration::from_millis(40),
     );
-    health.begin("quick", Duration::from_millis(400));
+    health.record_start("quick", Duration::from_millis(400));
     let weight = |name, ms| health.weight(name, 6, LATE_AFTER, Duration::from_millis(ms));
     assert!((weight("hangs", 100) - weight("quick", 100)).abs() < 1e-9);
     assert!(weight("hangs", 401) * 5.0 < weight("quick", 401));
