--- a/src/gateway/endpoint_choice.rs
+++ b/src/gateway/endpoint_choice.rs
@@ -7,14 +7,14 @@
 
 use super::inbound_call::Call;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::response_time::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 
 /// Draws an endpoint that was not tried, by weight; where all were tried, rest, or get no more for now, none. `before_any` is the pace of a
 /// service that has not answered yet.
 pub(super) fn choose(
     call: &Call,
     tried: &HashSet<String>,
-    before_any: Pace,
+    before_any: ResponseTimeEstimate,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let now = gateway.now();
@@ -76,12 +76,12 @@
 fn draw(
     call: &Call,
     candidates: Vec<EndpointEntry>,
-    before_any: Pace,
+    before_any: ResponseTimeEstimate,
     now: Duration,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway.pace(&call.service, before_any).late();
+        let late_after = gateway.pace(&call.service, before_any).overdue();
         let health = gateway.health.lock();
         let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
         candidates.iter().map(weight).collect()
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -28,13 +28,13 @@
 use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::RunDemand;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::response_time::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 use crate::platform::{engine, ingress};
 
 /// Engines that one generation is offered to.
 const OFFERS_MAX: u32 = 5;
 /// Time to a first event before any was seen: what engines with four generations took to read 2,500 tokens, and how much that varied.
-const FIRST_EVENT: Pace = Pace::expecting(0.45, 0.25);
+const FIRST_EVENT: ResponseTimeEstimate = ResponseTimeEstimate::initial(0.45, 0.25);
 /// Left of the caller's time when a generation is begun anew: its prompt has to be read once more.
 const BEGIN_ANEW_MIN: Duration = Duration::from_millis(300);
 /// Callers heed a time to come back up to this part of the time that they have left; the users say so.
@@ -295,7 +295,7 @@
 /// How long room is waited for: as long as the first event can still come within the goal; a generation that has begun, until it can just
 /// be served.
 fn wait_for_room(call: &Call, offers: &Offers) -> Duration {
-    let usual = call.gateway.pace(&call.service, FIRST_EVENT).usual();
+    let usual = call.gateway.pace(&call.service, FIRST_EVENT).typical();
     let until = if offers.runs > 0 {
         call.time_left()
     } else {
@@ -335,7 +335,7 @@
     let another = call.route.resumable && offers.runs + 1 < call.route.attempts_max;
     if another {
         let pace = call.gateway.pace(&call.service, FIRST_EVENT);
-        left.saturating_sub(pace.usual())
+        left.saturating_sub(pace.typical())
     } else {
         left
     }
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -36,7 +36,7 @@
 use crate::kernel::instance_count::InstanceCounter;
 use crate::kernel::membership::{Incarnation, Members, PeerStatus};
 use crate::kernel::one_at_a_time::OneAtATime;
-use crate::kernel::response_time::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 use crate::kernel::retry::{RetryAllowance, RetryBudget};
 use crate::kernel::route::{RouteConfig, RouteTable};
 use crate::peer::client::PeerClients;
@@ -150,7 +150,7 @@
     retries: Mutex<HashMap<String, ServiceRepeats>>,
     started_at: Duration,
     /// How long the services take to answer, by name.
-    paces: Mutex<HashMap<String, Pace>>,
+    paces: Mutex<HashMap<String, ResponseTimeEstimate>>,
     pub(crate) upstream: Upstream,
     pub(crate) suspensions: Suspensions,
     /// Contents that endpoints ended under.
@@ -421,16 +421,25 @@
     }
 
     /// How fast a service answers, as far as is known.
-    pub(crate) fn pace(&self, service: &str, before_any: Pace) -> Pace {
+    pub(crate) fn pace(
+        &self,
+        service: &str,
+        before_any: ResponseTimeEstimate,
+    ) -> ResponseTimeEstimate {
         let paces = self.paces.lock();
         paces.get(service).copied().unwrap_or(before_any)
     }
 
     /// A service answered within this time.
-    pub(crate) fn note_pace(&self, service: &str, before_any: Pace, took: Duration) {
+    pub(crate) fn note_pace(
+        &self,
+        service: &str,
+        before_any: ResponseTimeEstimate,
+        took: Duration,
+    ) {
         let mut paces = self.paces.lock();
         let pace = paces.entry(service.to_owned()).or_insert(before_any);
-        pace.took(took);
+        pace.record(took);
     }
 
     /// What this instance says about itself.
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -24,7 +24,7 @@
 use crate::kernel::cooldown::ServiceAvailability;
 use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::response_time::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 use crate::kernel::route::CallKind;
 use crate::platform::{engine, ingress};
 
@@ -33,7 +33,7 @@
 /// Sends of one call, those that endpoints refused included.
 const SENDS_MAX: u32 = 4;
 /// Time to an answer before any was seen; plain services that were measured took 45 ms and varied by 20.
-const ANSWER: Pace = Pace::expecting(0.06, 0.03);
+const ANSWER: ResponseTimeEstimate = ResponseTimeEstimate::initial(0.06, 0.03);
 /// An answer that was not waited for counts as having taken this many times as long, so that patience grows with a slower service.
 const LATE_TIMES: u32 = 2;
 /// An answer is overdue after this many times what all but a few take.
@@ -221,7 +221,7 @@
             }
             continue;
         }
-        let usual = gateway.pace(&call.service, ANSWER).usual();
+        let usual = gateway.pace(&call.service, ANSWER).typical();
         let waits_until = (call.arrived + call.route.goal).saturating_sub(usual);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
         match rests::outlook(call, is_tried, waits_until) {
@@ -366,7 +366,7 @@
     let patience = patience(call, attempts);
     let is_given_up = patience < call.time_left();
     let rested = connection.rested_with();
-    let overdue_after = gateway.pace(&call.service, ANSWER).late() * OVERDUE_TIMES;
+    let overdue_after = gateway.pace(&call.service, ANSWER).overdue() * OVERDUE_TIMES;
     let answered = Box::pin(async {
         let answer = connection.send(request, permit).await?;
         read_whole(gateway, &call.head.request_id, answer).await
@@ -438,7 +438,7 @@
         && rests::has_another(call, &attempts.tried);
     if another {
         let pace = call.gateway.pace(&call.service, ANSWER);
-        left.min(pace.patience(call.route.goal.saturating_sub(call.age())))
+        left.min(pace.timeout(call.route.goal.saturating_sub(call.age())))
     } else {
         left
     }
--- a/tests/kernel/response_time.rs
+++ b/tests/kernel/response_time.rs
@@ -1,49 +1,50 @@
-//! How long an answer is waited for.
+//! Response-time estimates and the time-outs derived from them.
 
 use std::time::Duration;
 
-use larkwick::kernel::response_time::Pace;
+use larkwick::kernel::response_time::ResponseTimeEstimate;
 use proptest::prelude::*;
 
-fn steady(millis: u64, answers: u32) -> Pace {
-    let mut pace = Pace::expecting(0.5, 0.25);
+fn estimate_after(millis: u64, answers: u32) -> ResponseTimeEstimate {
+    let mut estimate = ResponseTimeEstimate::initial(0.5, 0.25);
     for _ in 0..answers {
-        pace.took(Duration::from_millis(millis));
+        estimate.record(Duration::from_millis(millis));
     }
-    pace
+    estimate
 }
 
 #[test]
-fn patience_steady_answers_learnt() {
-    let pace = steady(40, 60);
-    let patience = pace.patience(Duration::ZERO);
-    assert!(patience >= Duration::from_millis(40), "{patience:?}");
-    assert!(patience < Duration::from_millis(45), "{patience:?}");
+fn timeout_steady_answers_converges() {
+    let estimate = estimate_after(40, 60);
+    let timeout = estimate.timeout(Duration::ZERO);
+    assert!(timeout >= Duration::from_millis(40), "{timeout:?}");
+    assert!(timeout < Duration::from_millis(45), "{timeout:?}");
 }
 
 #[test]
-fn patience_service_grows_slow_waited_for_again() {
-    let mut pace = steady(40, 60);
+fn timeout_service_becomes_slow_grows() {
+    let mut estimate = estimate_after(40, 60);
     for _ in 0..60 {
-        pace.took(Duration::from_millis(400));
+        estimate.record(Duration::from_millis(400));
     }
-    assert!(pace.patience(Duration::ZERO) >= Duration::from_millis(400));
+    assert!(estimate.timeout(Duration::ZERO) >= Duration::from_millis(400));
 }
 
 proptest! {
-    /// Never below what most answers take, never beyond the mean and four deviations, and the more of the goal is left the longer.
+    /// The time-out is never below the typical response time, never above the mean plus four
+    /// deviations, and grows with the time left of the objective.
     #[test]
-    fn patience_any_answers_within_bounds(
+    fn timeout_any_answers_within_bounds(
         answers in proptest::collection::vec(1_u64..5_000, 0..50),
-        goal_ms in 0_u64..10_000,
+        objective_left_ms in 0_u64..10_000,
     ) {
-        let mut pace = Pace::expecting(0.06, 0.03);
+        let mut estimate = ResponseTimeEstimate::initial(0.06, 0.03);
         for millis in answers {
-            pace.took(Duration::from_millis(millis));
+            estimate.record(Duration::from_millis(millis));
         }
-        let patience = pace.patience(Duration::from_millis(goal_ms));
-        prop_assert!(patience + Duration::from_nanos(10) >= pace.usual());
-        prop_assert!(patience <= pace.patience(Duration::from_millis(goal_ms + 100)));
-        prop_assert!(patience <= pace.usual() * 2 + Duration::from_nanos(10));
+        let timeout = estimate.timeout(Duration::from_millis(objective_left_ms));
+        prop_assert!(timeout + Duration::from_nanos(10) >= estimate.typical());
+        prop_assert!(timeout <= estimate.timeout(Duration::from_millis(objective_left_ms + 100)));
+        prop_assert!(timeout <= estimate.typical() * 2 + Duration::from_nanos(10));
     }
 }
