--- a/benches/crashing.rs
+++ b/benches/crashing.rs
@@ -11,7 +11,7 @@
 
 use larkwick::kernel::crash_suspects::{BEGINNING, End, Rules, Suspects, Verdict};
 use larkwick::kernel::engine_ledger::{EngineEntry, EngineLedger, ReportedRun, RunDemand};
-use larkwick::kernel::fingerprint::{ContentHead, ContentId, HeadId};
+use larkwick::kernel::fingerprint::{FingerprintHead, HeadHash, RequestFingerprint};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -92,10 +92,10 @@
     outcome: Outcome,
 }
 
-fn content(number: u128) -> ContentId {
-    ContentId {
-        head: HeadId(0),
-        whole: number,
+fn content(number: u128) -> RequestFingerprint {
+    RequestFingerprint {
+        head: HeadHash(0),
+        full: number,
     }
 }
 
@@ -360,7 +360,7 @@
 /// What it takes to name a content, by the length of its body.
 fn naming() {
     const TIMES: u32 = 200;
-    let head = ContentHead {
+    let head = FingerprintHead {
         method: "POST",
         host: "site.example",
         path: "/chat/1",
@@ -369,14 +369,14 @@
     };
     let begun = Instant::now();
     for _ in 0..TIMES {
-        black_box(black_box(&head).id());
+        black_box(black_box(&head).hash());
     }
     println!("head: {:.2?}", begun.elapsed() / TIMES);
     for bytes in [3_000, 4 << 20] {
         let body = vec![7_u8; bytes];
         let begun = Instant::now();
         for _ in 0..TIMES {
-            black_box(head.id().with_body(black_box(&body)));
+            black_box(head.hash().with_body(black_box(&body)));
         }
         println!(
             "head and body of {bytes} bytes: {:.2?}",
--- a/src/gateway/broken_off.rs
+++ b/src/gateway/broken_off.rs
@@ -12,7 +12,7 @@
 use super::node::Gateway;
 use super::upstream::Upstream;
 use crate::kernel::clock::millis;
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
 
 /// What was found of an endpoint counts for this long: all that it broke off is cut within milliseconds, and one connection tells for all.
@@ -75,7 +75,7 @@
 struct BrokenOff {
     gateway: Arc<Gateway>,
     request_id: String,
-    content: ContentId,
+    content: RequestFingerprint,
     endpoint: EndpointEntry,
     ran_for: Duration,
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -11,7 +11,7 @@
 use super::node::{Gateway, MEMBER_RING};
 use super::site_store::{MemberEntry, SitePage, SiteRecord, SiteStore, StoreError, Subject};
 use crate::kernel::backoff::Backoff;
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::{FleetChange, ListNews};
 use crate::kernel::membership::{Incarnation, Listed, PeerStatus};
 use crate::kernel::position::Position;
@@ -194,7 +194,7 @@
         SiteRecord::Suspect(kept) => Some(kept.content()),
         _ => None,
     });
-    let kept: BTreeSet<ContentId> = kept.collect();
+    let kept: BTreeSet<RequestFingerprint> = kept.collect();
     if gateway.suspects.lock().keep_only(&kept) {
         gateway.suspects_changed.notify_one();
     }
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -8,7 +8,7 @@
 
 use super::call::CallHead;
 use super::node::{Counted, Gateway};
-use crate::kernel::fingerprint::{ContentHead, ContentId, HeadId};
+use crate::kernel::fingerprint::{FingerprintHead, HeadHash, RequestFingerprint};
 use crate::kernel::route::{Route, RouteTable};
 
 /// A call on its way.
@@ -30,27 +30,27 @@
     /// When the caller, or the route, stops waiting.
     pub(crate) deadline: Duration,
     /// What names it by its content, once asked for: most bodies need never be read for it.
-    pub(crate) content: OnceLock<ContentId>,
+    pub(crate) content: OnceLock<RequestFingerprint>,
     /// Keeps the instance from stopping.
     pub(crate) _counted: Counted,
 }
 
 impl Call {
     /// What names the head of its content.
-    pub(crate) fn content_head(&self) -> HeadId {
+    pub(crate) fn content_head(&self) -> HeadHash {
         let path = self.parts.uri.path_and_query();
-        let head = ContentHead {
+        let head = FingerprintHead {
             method: self.parts.method.as_str(),
             host: &self.route.host,
             path: path.map_or("/", http::uri::PathAndQuery::as_str),
             account: self.account.as_deref(),
             body_bytes: self.body.len(),
         };
-        head.id()
+        head.hash()
     }
 
     /// What names it by its content.
-    pub(crate) fn content(&self) -> ContentId {
+    pub(crate) fn content(&self) -> RequestFingerprint {
         let read = || self.content_head().with_body(&self.body);
         *self.content.get_or_init(read)
     }
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -14,7 +14,7 @@
 use crate::kernel::clock::millis;
 use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::EngineSummary;
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::{EndpointEntry, Standing};
 use crate::kernel::membership::PeerStatus;
 
@@ -128,7 +128,7 @@
 /// A content that endpoints ended under.
 #[derive(Serialize)]
 struct SuspectDump {
-    content: ContentId,
+    content: RequestFingerprint,
     verdict: Verdict,
     /// Whether an endpoint has finished it.
     innocent: bool,
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -23,7 +23,7 @@
 use super::subject_cache::SubjectCache;
 use super::tally::{Tally, Work};
 use crate::kernel::clock::{Clock, millis};
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::freshness::Freshness;
 use crate::kernel::position::Position;
 use crate::kernel::store_contact::StoreContact;
@@ -519,7 +519,7 @@
         self.direct().keep_suspect(suspect).await
     }
 
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()> {
+    async fn drop_suspect(&self, content: RequestFingerprint) -> StoreResult<()> {
         self.direct().drop_suspect(content).await
     }
 }
--- a/src/gateway/site_store.rs
+++ b/src/gateway/site_store.rs
@@ -10,7 +10,7 @@
 use crate::kernel::clock::millis;
 use crate::kernel::crash_suspects::Told;
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::position::Position;
 use crate::kernel::roles::{self, default_link_mbps};
@@ -88,7 +88,7 @@
 
     /// The content.
     #[must_use]
-    pub fn content(&self) -> ContentId {
+    pub fn content(&self) -> RequestFingerprint {
         self.told.content
     }
 
@@ -121,7 +121,7 @@
     /// A content that endpoints ended under.
     Suspect(KeptSuspect),
     /// A content is kept no more.
-    SuspectGone(ContentId),
+    SuspectGone(RequestFingerprint),
     /// A record that cannot be read.
     Unreadable {
         /// Its key.
@@ -182,7 +182,7 @@
     /// Keeps a content that endpoints ended under, in place of what was kept of it.
     async fn keep_suspect(&self, suspect: &KeptSuspect) -> StoreResult<()>;
     /// Drops what is kept of a content.
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()>;
+    async fn drop_suspect(&self, content: RequestFingerprint) -> StoreResult<()>;
 }
 
 /// A registered way to reach a store.
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -8,7 +8,7 @@
 use super::parts::EncodedPage;
 use super::site_store::{SitePage, SiteRecord, Subject};
 use crate::kernel::evacuation::EvacuatedHalls;
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::position::Position;
 use crate::kernel::route::RouteConfig;
 
@@ -178,7 +178,7 @@
 }
 
 /// No member has such a name.
-fn suspect_key(content: ContentId) -> String {
+fn suspect_key(content: RequestFingerprint) -> String {
     format!("suspect/{content}")
 }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -16,7 +16,7 @@
 use crate::kernel::crash_suspects::{
     BEGINNING, Change, End, Told, Verdict, short_hash, software_id,
 };
-use crate::kernel::fingerprint::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
 use crate::peer::convert::BadField;
 use crate::peer::generated as wire;
@@ -62,7 +62,7 @@
         return false;
     }
     let head = call.content_head();
-    suspects.lock().knows_head(head)
+    suspects.lock().has_head(head)
 }
 
 /// Whether a request may be sent; `restricted` tells that it was admitted to some endpoints before.
@@ -162,7 +162,7 @@
     /// An endpoint ended while it ran a content, whose first event had come so long ago.
     pub(super) fn note_end(
         self: &Arc<Self>,
-        content: ContentId,
+        content: RequestFingerprint,
         endpoint: &EndpointEntry,
         ran_for: Duration,
     ) {
@@ -181,7 +181,7 @@
     }
 
     /// An operator lets a content go, here and, with the news of it, everywhere; gives whether it was known.
-    pub(super) fn let_suspect_go(self: &Arc<Self>, content: ContentId) -> bool {
+    pub(super) fn let_suspect_go(self: &Arc<Self>, content: RequestFingerprint) -> bool {
         let was_known = self.suspects.lock().let_go(content, self.now());
         if was_known {
             info!("content let go by an operator", kv: { content: });
@@ -225,7 +225,7 @@
         news.iter().map(Into::into).collect()
     }
 
-    fn suspects_after(&self, content: ContentId, change: Change, source: &str) {
+    fn suspects_after(&self, content: RequestFingerprint, change: Change, source: &str) {
         if change == Change::None {
             return;
         }
--- a/src/kernel/crash_suspects.rs
+++ b/src/kernel/crash_suspects.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::fingerprint::{ContentId, HeadId};
+use super::fingerprint::{HeadHash, RequestFingerprint};
 
 /// What runs for longer than this after its first event did not end its endpoint by beginning. Of nine ends that one request brought about, each came
 /// 0.05 to 0.08 s after it had begun to run; the slowest engine that was measured makes ten events in this time.
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
     /// The content.
-    pub content: ContentId,
+    pub content: RequestFingerprint,
     /// Counts how often it was found innocent or let go.
     pub life: u32,
     /// Whether an endpoint has finished it.
@@ -164,9 +164,9 @@
 pub struct Suspects {
     rules: Rules,
     /// At most [`CONTENTS_MAX`].
-    by_content: BTreeMap<ContentId, Suspect>,
+    by_content: BTreeMap<RequestFingerprint, Suspect>,
     /// How many of them share a head; no entry where none does.
-    heads: HashMap<HeadId, u32>,
+    heads: HashMap<HeadHash, u32>,
 }
 
 /// Names an endpoint or its software in few bytes.
@@ -261,7 +261,7 @@
         self.last_end_at.saturating_add(kept)
     }
 
-    fn told(&self, content: ContentId, now: Duration) -> Told {
+    fn told(&self, content: RequestFingerprint, now: Duration) -> Told {
         Told {
             content,
             life: self.life,
@@ -334,13 +334,13 @@
 
     /// Whether something is known of a content with this head. Where not, a request's body need not be read.
     #[must_use]
-    pub fn knows_head(&self, head: HeadId) -> bool {
+    pub fn has_head(&self, head: HeadHash) -> bool {
         self.heads.contains_key(&head)
     }
 
     /// What may be done with a content.
     #[must_use]
-    pub fn verdict(&self, content: ContentId, now: Duration) -> Verdict {
+    pub fn verdict(&self, content: RequestFingerprint, now: Duration) -> Verdict {
         let Some(suspect) = self.by_content.get(&content) else {
             return Verdict::Sound;
         };
@@ -355,7 +355,12 @@
 
     /// Begins a trial of a refused content, where one may be made on endpoints with this software: none has ended under it, and not too many trials
     /// were made. The instances agree on one of them that makes trials.
-    pub fn begin_trial(&mut self, content: ContentId, software: u64, now: Duration) -> bool {
+    pub fn begin_trial(
+        &mut self,
+        content: RequestFingerprint,
+        software: u64,
+        now: Duration,
+    ) -> bool {
         let Some(suspect) = self.by_content.get_mut(&content) else {
             return false;
         };
@@ -367,7 +372,7 @@
     }
 
     /// An endpoint ended while it ran a content.
-    pub fn ended(&mut self, content: ContentId, end: End, now: Duration) -> Change {
+    pub fn ended(&mut self, content: RequestFingerprint, end: End, now: Duration) -> Change {
         self.make_room(content, now);
         let suspect = self.entry(content, now);
         if suspect.innocent {
@@ -392,7 +397,12 @@
 
     /// An endpoint with this software has run a content to an end of its own and is still there. Where others with it had ended, the content was not why;
     /// where only other software had, it may be sent to this one, and the rest stays as it is.
-    pub fn survived(&mut self, content: ContentId, software: u64, now: Duration) -> Change {
+    pub fn survived(
+        &mut self,
+        content: RequestFingerprint,
+        software: u64,
+        now: Duration,
+    ) -> Change {
         let suspect = self.by_content.get_mut(&content);
         let Some(suspect) = suspect.filter(|suspect| !suspect.innocent) else {
             return Change::None;
@@ -410,14 +420,14 @@
 
     /// Software that has finished a content under which other software ended.
     #[must_use]
-    pub fn is_sound_on(&self, content: ContentId, software: u64) -> bool {
+    pub fn is_sound_on(&self, content: RequestFingerprint, software: u64) -> bool {
         let suspect = self.by_content.get(&content);
         suspect.is_some_and(|suspect| suspect.sound_on.contains(&software))
     }
 
     /// An endpoint runs a content on past its beginning. What others ended under then was not its beginning: callers send equal requests by the hundred, and
     /// one that runs at each endpoint is cut with each that ends.
-    pub fn ran_on(&mut self, content: ContentId, now: Duration) -> Change {
+    pub fn ran_on(&mut self, content: RequestFingerprint, now: Duration) -> Change {
         let suspect = self.by_content.get_mut(&content);
         let Some(suspect) = suspect.filter(|suspect| !suspect.innocent && !suspect.ran_on) else {
             return Change::None;
@@ -428,7 +438,7 @@
     }
 
     /// An operator lets a content go: it is counted from nothing. Gives whether it was known.
-    pub fn let_go(&mut self, content: ContentId, now: Duration) -> bool {
+    pub fn let_go(&mut self, content: RequestFingerprint, now: Duration) -> bool {
         let Some(suspect) = self.by_content.get_mut(&content) else {
             return false;
         };
@@ -487,14 +497,14 @@
     }
 
     /// The store holds nothing of a content any more.
-    pub fn not_kept(&mut self, content: ContentId) {
+    pub fn not_kept(&mut self, content: RequestFingerprint) {
         if let Some(suspect) = self.by_content.get_mut(&content) {
             suspect.kept = None;
         }
     }
 
     /// The store holds just these contents: the others are to be kept anew. Gives whether there are any.
-    pub fn keep_only(&mut self, kept: &BTreeSet<ContentId>) -> bool {
+    pub fn keep_only(&mut self, kept: &BTreeSet<RequestFingerprint>) -> bool {
         let mut any_lost = false;
         for (content, suspect) in &mut self.by_content {
             if suspect.kept.is_some() && !kept.contains(content) {
@@ -547,9 +557,9 @@
     }
 
     /// Forgets what has lapsed; gives the contents among them that the store still holds.
-    pub fn expire(&mut self, now: Duration) -> Vec<ContentId> {
+    pub fn expire(&mut self, now: Duration) -> Vec<RequestFingerprint> {
         let lapsed = self.by_content.iter();
-        let lapsed: Vec<ContentId> = lapsed
+        let lapsed: Vec<RequestFingerprint> = lapsed
             .filter(|(_, suspect)| now >= suspect.lapses_at())
             .map(|(content, _)| *content)
             .collect();
@@ -564,7 +574,7 @@
         held
     }
 
-    fn entry(&mut self, content: ContentId, now: Duration) -> &mut Suspect {
+    fn entry(&mut self, content: RequestFingerprint, now: Duration) -> &mut Suspect {
         self.by_content.entry(content).or_insert_with(|| {
             *self.heads.entry(content.head).or_default() += 1;
             Suspect::new(self.rules, now)
@@ -573,7 +583,7 @@
 
     /// Forgets the least suspected contents, the oldest of these, where there is no room for one more. Many at a time: one by one, an end under a new
     /// content took 0.12 ms while there was no room, with many at once 0.002 ms (a million contents, one test).
-    fn make_room(&mut self, content: ContentId, now: Duration) {
+    fn make_room(&mut self, content: RequestFingerprint, now: Duration) {
         if self.by_content.len() < CONTENTS_MAX || self.by_content.contains_key(&content) {
             return;
         }
@@ -591,7 +601,7 @@
         }
     }
 
-    fn remove(&mut self, content: ContentId) {
+    fn remove(&mut self, content: RequestFingerprint) {
         if self.by_content.remove(&content).is_none() {
             return;
         }
--- a/src/kernel/fingerprint.rs
+++ b/src/kernel/fingerprint.rs
@@ -1,127 +1,132 @@
-//! Which request is the same as another one, whoever sends it and under which name: method, host, path with its query, client account and the bytes
-//! of the body are equal. The name of the try, its deadline, the key that stands for the account and the way in which the body was framed are not
-//! looked at.
+//! Request fingerprints: which requests are the same, whoever sends them and under whichever
+//! request id.
+//!
+//! Two requests are the same if method, host, path with query, client account and the bytes of the
+//! body are equal. The request id, the deadline, the key that identified the account and the
+//! framing of the body are ignored.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What makes two requests the same, but for the bytes of their bodies.
+/// The parts of a fingerprint other than the bytes of the body.
 #[derive(Debug, Clone, Copy)]
-pub struct ContentHead<'a> {
+pub struct FingerprintHead<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Host of the route, in lower case and without a port.
     pub host: &'a str,
     /// Path with its query.
     pub path: &'a str,
-    /// The client account; nothing where anyone may call.
+    /// The client account; `None` if anyone may call.
     pub account: Option<&'a str>,
     /// Length of the body.
     pub body_bytes: usize,
 }
 
-/// Names [`ContentHead`]: cheap beside the whole, so that a body is read only where the rest fits.
+/// Hash of a [`FingerprintHead`]. It is cheaper than the full fingerprint, so a body is read only
+/// if its head matches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct HeadId(pub u64);
+pub struct HeadHash(pub u64);
 
-/// Names the content of a request. Two requests share one by chance once in 2^64 contents; an innocent one would then be taken for the other.
+/// Fingerprint of a request. A collision is expected only among about 2^64 different requests; a
+/// harmless request would then be taken for the other one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct ContentId {
-    /// Its head.
-    pub head: HeadId,
-    /// The whole.
-    pub whole: u128,
+pub struct RequestFingerprint {
+    /// Hash of the head.
+    pub head: HeadHash,
+    /// Hash of the head and the body.
+    pub full: u128,
 }
 
-impl ContentHead<'_> {
-    /// The id of this head.
+impl FingerprintHead<'_> {
+    /// Returns the hash of this head.
     #[must_use]
-    pub fn id(&self) -> HeadId {
+    pub fn hash(&self) -> HeadHash {
         let mut hasher = blake3::Hasher::new();
-        for part in [self.method, self.host, self.path] {
-            update_delimited(&mut hasher, part.as_bytes());
+        for field in [self.method, self.host, self.path] {
+            update_delimited(&mut hasher, field.as_bytes());
         }
         hasher.update(&[u8::from(self.account.is_some())]);
         update_delimited(&mut hasher, self.account.unwrap_or_default().as_bytes());
         hasher.update(&length(self.body_bytes));
-        let mut first = [0; 8];
-        first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-        HeadId(u64::from_be_bytes(first))
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+        HeadHash(u64::from_be_bytes(prefix))
     }
 }
 
-impl HeadId {
-    /// The id of this head with a body.
+impl HeadHash {
+    /// Returns the fingerprint of a request with this head and the given body.
     #[must_use]
-    pub fn with_body(self, body: &[u8]) -> ContentId {
+    pub fn with_body(self, body: &[u8]) -> RequestFingerprint {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.0.to_be_bytes());
         hasher.update(body);
-        let mut first = [0; 16];
-        first.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        ContentId {
+        let mut prefix = [0; 16];
+        prefix.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        RequestFingerprint {
             head: self,
-            whole: u128::from_be_bytes(first),
+            full: u128::from_be_bytes(prefix),
         }
     }
 }
 
-fn update_delimited(hasher: &mut blake3::Hasher, part: &[u8]) {
-    hasher.update(&length(part.len()));
-    hasher.update(part);
+fn update_delimited(hasher: &mut blake3::Hasher, field: &[u8]) {
+    hasher.update(&length(field.len()));
+    hasher.update(field);
 }
 
 fn length(bytes: usize) -> [u8; 8] {
     u64::try_from(bytes).unwrap_or(u64::MAX).to_be_bytes()
 }
 
-impl fmt::Display for ContentId {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:016x}{:032x}", self.head.0, self.whole)
+        write!(formatter, "{:016x}{:032x}", self.head.0, self.full)
     }
 }
 
-impl fmt::Debug for ContentId {
+impl fmt::Debug for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, formatter)
     }
 }
 
-/// A text that names no content.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is not the name of a content: 48 hexadecimal digits are wanted")]
-pub struct NotAContent(String);
+#[error("{0:?} is not a request fingerprint: expected 48 hexadecimal digits")]
+pub struct InvalidFingerprint(String);
 
-impl std::str::FromStr for ContentId {
-    type Err = NotAContent;
+impl std::str::FromStr for RequestFingerprint {
+    type Err = InvalidFingerprint;
 
-    fn from_str(text: &str) -> Result<Self, NotAContent> {
+    fn from_str(text: &str) -> Result<Self, InvalidFingerprint> {
         const HEAD_DIGITS: usize = 16;
         const DIGITS: usize = 48;
-        let fault = || NotAContent(text.to_owned());
+        let invalid = || InvalidFingerprint(text.to_owned());
         if text.len() != DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(fault());
+            return Err(invalid());
         }
-        let (head, whole) = text.split_at(HEAD_DIGITS);
+        let (head, full) = text.split_at(HEAD_DIGITS);
         Ok(Self {
-            head: HeadId(u64::from_str_radix(head, 16).map_err(|_| fault())?),
-            whole: u128::from_str_radix(whole, 16).map_err(|_| fault())?,
+            head: HeadHash(u64::from_str_radix(head, 16).map_err(|_| invalid())?),
+            full: u128::from_str_radix(full, 16).map_err(|_| invalid())?,
         })
     }
 }
 
-impl From<ContentId> for String {
-    fn from(content: ContentId) -> Self {
-        content.to_string()
+impl From<RequestFingerprint> for String {
+    fn from(fingerprint: RequestFingerprint) -> Self {
+        fingerprint.to_string()
     }
 }
 
-impl TryFrom<String> for ContentId {
-    type Error = NotAContent;
+impl TryFrom<String> for RequestFingerprint {
+    type Error = InvalidFingerprint;
 
-    fn try_from(text: String) -> Result<Self, NotAContent> {
+    fn try_from(text: String) -> Result<Self, InvalidFingerprint> {
         text.parse()
     }
 }
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -9,7 +9,7 @@
 use crate::kernel::crash_suspects::{End, Told};
 use crate::kernel::engine_ledger::{MoveResult, ReportedRun, RunDemand};
 use crate::kernel::evacuation::EvacuatedHalls;
-use crate::kernel::fingerprint::{ContentId, HeadId};
+use crate::kernel::fingerprint::{HeadHash, RequestFingerprint};
 use crate::kernel::gossip::Gossip;
 use crate::kernel::group::ReserveRequest;
 use crate::kernel::membership::{Incarnation, PeerStatus};
@@ -157,7 +157,7 @@
         });
         Self {
             head: told.content.head.0,
-            whole: told.content.whole.to_be_bytes().to_vec(),
+            whole: told.content.full.to_be_bytes().to_vec(),
             life: told.life,
             innocent: told.innocent,
             ran_on: told.ran_on,
@@ -179,9 +179,9 @@
             beginning: end.beginning,
         });
         Ok(Self {
-            content: ContentId {
-                head: HeadId(message.head),
-                whole: u128::from_be_bytes(whole),
+            content: RequestFingerprint {
+                head: HeadHash(message.head),
+                full: u128::from_be_bytes(whole),
             },
             life: message.life,
             innocent: message.innocent,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -23,7 +23,7 @@
     StoreResult, Subject,
 };
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
-use crate::kernel::fingerprint::{ContentId, NotAContent};
+use crate::kernel::fingerprint::{InvalidFingerprint, RequestFingerprint};
 use crate::kernel::position::Position;
 
 /// Longest time until an answer begins, beside what the call waits by itself. The store answers in 4 ms; slow days take sixty times that.
@@ -333,7 +333,7 @@
         self.put(&key, &to_json(suspect)?).await
     }
 
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()> {
+    async fn drop_suspect(&self, content: RequestFingerprint) -> StoreResult<()> {
         self.put(&suspect_key(content), &[]).await
     }
 }
@@ -342,7 +342,7 @@
     serde_json::to_vec(value).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-fn suspect_key(content: ContentId) -> String {
+fn suspect_key(content: RequestFingerprint) -> String {
     format!("{SUSPECT_KEY_PREFIX}{content}")
 }
 
@@ -440,7 +440,7 @@
         None => content
             .parse()
             .map(SiteRecord::SuspectGone)
-            .map_err(|error: NotAContent| error.to_string()),
+            .map_err(|error: InvalidFingerprint| error.to_string()),
     };
     Some(readable(key, decoded))
 }
--- a/tests/kernel/crash_suspects.rs
+++ b/tests/kernel/crash_suspects.rs
@@ -6,22 +6,22 @@
 use larkwick::kernel::crash_suspects::{
     Change, End, NEWS_MAX, Suspects, Told, Verdict, software_id,
 };
-use larkwick::kernel::fingerprint::{ContentHead, ContentId};
+use larkwick::kernel::fingerprint::{FingerprintHead, RequestFingerprint};
 use proptest::prelude::*;
 
 use super::hall::{Hall, PERIOD};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn content(body: &str) -> ContentId {
-    let head = ContentHead {
+fn content(body: &str) -> RequestFingerprint {
+    let head = FingerprintHead {
         method: "POST",
         host: "site.example",
         path: "/chat/1?a=b",
         account: Some("account-1"),
         body_bytes: body.len(),
     };
-    head.id().with_body(body.as_bytes())
+    head.hash().with_body(body.as_bytes())
 }
 
 fn end(endpoint: u64) -> End {
@@ -40,7 +40,7 @@
 }
 
 /// What one instance knows after these ends.
-fn after(content: ContentId, ends: &[End]) -> Suspects {
+fn after(content: RequestFingerprint, ends: &[End]) -> Suspects {
     let mut suspects = Suspects::default();
     for end in ends {
         suspects.ended(content, *end, SECOND);
@@ -54,46 +54,46 @@
 
 #[test]
 fn content_id_each_part_changed_another_one() {
-    let head = ContentHead {
+    let head = FingerprintHead {
         method: "POST",
         host: "site.example",
         path: "/a/",
         account: Some("one"),
         body_bytes: 4,
     };
-    let id = |head: &ContentHead<'_>, body: &str| head.id().with_body(body.as_bytes());
+    let id = |head: &FingerprintHead<'_>, body: &str| head.hash().with_body(body.as_bytes());
     let first = id(&head, "body");
     let others = [
         id(
-            &ContentHead {
+            &FingerprintHead {
                 method: "GET",
                 ..head
             },
             "body",
         ),
         id(
-            &ContentHead {
+            &FingerprintHead {
                 host: "b.example",
                 ..head
             },
             "body",
         ),
         id(
-            &ContentHead {
+            &FingerprintHead {
                 path: "/a/?b",
                 ..head
             },
             "body",
         ),
         id(
-            &ContentHead {
+            &FingerprintHead {
                 account: None,
                 ..head
             },
             "body",
         ),
         id(
-            &ContentHead {
+            &FingerprintHead {
                 account: Some("on"),
                 path: "/a/e",
                 ..head
@@ -115,7 +115,7 @@
         "suspect",
         "+00000000000000000000000000000000000000000000000",
     ] {
-        assert!(wrong.parse::<ContentId>().is_err(), "{wrong:?}");
+        assert!(wrong.parse::<RequestFingerprint>().is_err(), "{wrong:?}");
     }
 }
 
@@ -280,9 +280,9 @@
     let mut suspects = after(refused, &[end(1), end(2), end(3)]);
     let head = refused.head;
     for number in 0..1_000_000_u64 {
-        let id = ContentId {
+        let id = RequestFingerprint {
             head,
-            whole: u128::from(number),
+            full: u128::from(number),
         };
         suspects.ended(id, end(number), SECOND);
     }
@@ -300,10 +300,10 @@
 fn knows_head_no_content_with_it_nothing_to_read() {
     let id = content("x");
     let mut suspects = after(id, &[end(1)]);
-    assert!(suspects.knows_head(id.head));
-    assert!(!suspects.knows_head(content("longer").head));
+    assert!(suspects.has_head(id.head));
+    assert!(!suspects.has_head(content("longer").head));
     suspects.expire(Duration::from_hours(2));
-    assert!(!suspects.knows_head(id.head));
+    assert!(!suspects.has_head(id.head));
     assert!(suspects.is_empty());
 }
 
