--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -18,7 +18,7 @@
 use crate::endpoint::protocol::{EngineEvent, FinishReason, GenerationRequest, Started};
 use crate::endpoint::{Endpoint, EngineStream, ResumeError, ResumeFrom};
 use crate::error::{Error, ErrorKind, Result};
-use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
+use crate::kernel::attempt::{AttemptFailure, FailedAttempts, UnsentAttempt};
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::object::{ClientAccount, Model};
 use crate::kernel::stream::{EventId, GenerationId, TokenCursor, TokenStep};
@@ -142,7 +142,9 @@
                 if !may_run_again || !node.take_retry(&account.name) {
                     return Err(lost(&why));
                 }
-                start.failures.record(Failed::MayHaveRun(lost(&why)));
+                start
+                    .failures
+                    .record(AttemptFailure::MayHaveRun(lost(&why)));
                 start.excluded.insert(endpoint);
                 // The replay is checked from its first token on.
                 metrics::counter!("larkwick_replays_total").increment(1);
@@ -177,7 +179,7 @@
 }
 
 impl Start<'_> {
-    fn generation_request(&self, attempt: &Unsent, place: &Place) -> GenerationRequest {
+    fn generation_request(&self, attempt: &UnsentAttempt, place: &Place) -> GenerationRequest {
         GenerationRequest {
             request_id: self.request.request_id,
             attempt_id: attempt.attempt_id,
@@ -218,7 +220,7 @@
             let endpoint = place.endpoint.name.clone();
             match self.attempt(start, place).await {
                 Ok(started) => return Ok(started),
-                Err(Failed::MayHaveRun(error)) if !repeatable => return Err(error),
+                Err(AttemptFailure::MayHaveRun(error)) if !repeatable => return Err(error),
                 Err(failed) => start.failures.record(failed),
             }
             start.excluded.insert(endpoint);
@@ -233,8 +235,8 @@
         &self,
         start: &Start<'_>,
         place: Place,
-    ) -> Result<(Source, EngineStream), Failed> {
-        let attempt = Unsent::default();
+    ) -> Result<(Source, EngineStream), AttemptFailure> {
+        let attempt = UnsentAttempt::default();
         let name = place.endpoint.name.clone();
         // The last step before sending: news of a departure may have come since the choice.
         if is_departed(self.node, &name, place.incarnation) {
@@ -249,7 +251,9 @@
         info!("attempt", kv: { request_id:, attempt_id:, endpoint = name.as_str() });
         let mut stream = client.generate(attempt, &request).await?;
         let Some(Ok(EngineEvent::Started(started))) = stream.next().await else {
-            return Err(Failed::MayHaveRun(lost("the engine named no generation")));
+            return Err(AttemptFailure::MayHaveRun(lost(
+                "the engine named no generation",
+            )));
         };
         let source = Source {
             generation: generation_id(&name, &started),
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -11,7 +11,7 @@
 use super::request::{CallerRequest, RequestedWork};
 use crate::endpoint::{ServiceAnswer, ServiceCall};
 use crate::error::{Error, ErrorKind, Result};
-use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
+use crate::kernel::attempt::{AttemptFailure, FailedAttempts, UnsentAttempt};
 use crate::kernel::object::Endpoint as EndpointObject;
 use crate::kernel::rules::Work;
 use crate::settings::ms;
@@ -70,14 +70,16 @@
         let Some(client) = node.endpoints.client(endpoint) else {
             continue;
         };
-        let attempt = Unsent::default();
+        let attempt = UnsentAttempt::default();
         let attempt_id = attempt.attempt_id;
         let request_id = request.request_id;
         info!("attempt", kv: { request_id:, attempt_id:, endpoint = endpoint.name.as_str() });
         let timeout = deadline.saturating_sub(node.now());
         match client.call(attempt, &call, timeout).await {
             Ok(answer) => return Ok(answer),
-            Err(Failed::MayHaveRun(error)) if !request.options.repeatable => return Err(error),
+            Err(AttemptFailure::MayHaveRun(error)) if !request.options.repeatable => {
+                return Err(error);
+            }
             Err(failed) => failures.record(failed),
         }
         if node.now() >= deadline {
--- a/src/endpoint/http.rs
+++ b/src/endpoint/http.rs
@@ -18,7 +18,7 @@
     Endpoint, EndpointPlugin, EngineStream, OrderError, ResumeError, ResumeFrom, ServiceAnswer,
     ServiceCall, StreamBroken, plain_client,
 };
-use crate::kernel::attempt::{Failed, Sent, Unsent};
+use crate::kernel::attempt::{AttemptFailure, SentAttempt, UnsentAttempt};
 use crate::kernel::policy::LoadReport;
 
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -85,20 +85,20 @@
     /// Sends the one request of an attempt and sorts the failures by what may be said of them.
     async fn send(
         &self,
-        attempt: Unsent,
+        attempt: UnsentAttempt,
         request: reqwest::RequestBuilder,
         timeout: Duration,
-    ) -> Result<SentResponse, Failed> {
+    ) -> Result<SentResponse, AttemptFailure> {
         let attempt_id = attempt.attempt_id;
         let request = request.header(ATTEMPT_ID_HEADER, attempt_id.to_string());
         let sending = tokio::time::timeout(timeout, request.send()).await;
         let response = match sending {
             Ok(Err(error)) if error.is_connect() => return Err(attempt.not_connected(&self.name)),
-            Ok(Err(error)) => return Err(attempt.send().lost(&self.name, &error.to_string())),
-            Err(_) => return Err(attempt.send().lost(&self.name, "no answer in time")),
+            Ok(Err(error)) => return Err(attempt.mark_sent().lost(&self.name, &error.to_string())),
+            Err(_) => return Err(attempt.mark_sent().lost(&self.name, "no answer in time")),
             Ok(Ok(response)) => response,
         };
-        let sent = attempt.send();
+        let sent = attempt.mark_sent();
         if echoes(response.headers(), NOT_ADMITTED_HEADER, attempt_id) {
             return Err(sent.refused(&self.name));
         }
@@ -112,7 +112,7 @@
 }
 
 struct SentResponse {
-    sent: Sent,
+    sent: SentAttempt,
     response: reqwest::Response,
 }
 
@@ -120,9 +120,9 @@
 impl Endpoint for HttpEndpoint {
     async fn generate(
         &self,
-        attempt: Unsent,
+        attempt: UnsentAttempt,
         request: &GenerationRequest,
-    ) -> Result<EngineStream, Failed> {
+    ) -> Result<EngineStream, AttemptFailure> {
         let http = self.client.post(self.url("/v1/generations")).json(request);
         let SentResponse { sent, response } = self.send(attempt, http, START_TIMEOUT).await?;
         if !response.status().is_success() {
@@ -200,10 +200,10 @@
 
     async fn call(
         &self,
-        attempt: Unsent,
+        attempt: UnsentAttempt,
         call: &ServiceCall,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, Failed> {
+    ) -> Result<ServiceAnswer, AttemptFailure> {
         let http = self
             .client
             .post(self.url(&format!("/{}", call.path)))
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use crate::kernel::attempt::{Failed, Unsent};
+use crate::kernel::attempt::{AttemptFailure, UnsentAttempt};
 use crate::kernel::policy::LoadReport;
 use protocol::{CacheEvent, EngineEvent, GenerationRequest, Order, OrderStatus};
 
@@ -94,9 +94,9 @@
     /// Starts a generation. The stream's first event has been checked against the attempt and is returned with it.
     async fn generate(
         &self,
-        attempt: Unsent,
+        attempt: UnsentAttempt,
         request: &GenerationRequest,
-    ) -> Result<EngineStream, Failed>;
+    ) -> Result<EngineStream, AttemptFailure>;
     /// Reads a generation from an index on, starting with its `Started` event.
     async fn resume(&self, from: &ResumeFrom<'_>) -> Result<EngineStream, ResumeError>;
     /// Cancels a generation; with `unless_read`, only if nobody reads it.
@@ -110,10 +110,10 @@
     /// Calls a plain service.
     async fn call(
         &self,
-        attempt: Unsent,
+        attempt: UnsentAttempt,
         call: &ServiceCall,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, Failed>;
+    ) -> Result<ServiceAnswer, AttemptFailure>;
 }
 
 /// A registered endpoint plug-in.
--- a/src/kernel/attempt.rs
+++ b/src/kernel/attempt.rs
@@ -1,33 +1,34 @@
-//! An attempt at an endpoint, as a type: what may be said about it depends on whether bytes may have left.
+//! One attempt to send a request to an endpoint, as a typestate: what may be claimed about it
+//! depends on whether any byte may have left this process.
 
 use uuid::Uuid;
 
 use crate::error::{Error, ErrorKind};
 
-/// An attempt of which no byte has left this process.
+/// An attempt of which no byte has been sent.
 #[derive(Debug)]
-pub struct Unsent {
-    /// Echoed by the endpoint; an answer with another id goes to nobody.
+pub struct UnsentAttempt {
+    /// Echoed by the endpoint; an answer with another id is discarded.
     pub attempt_id: Uuid,
 }
 
-/// An attempt whose bytes may have left.
+/// An attempt of which bytes may have been sent.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     /// Echoed by the endpoint.
     pub attempt_id: Uuid,
 }
 
-/// How an attempt failed, and so what may follow.
+/// How an attempt failed, which decides whether it may be retried.
 #[derive(Debug)]
-pub enum Failed {
-    /// Certainly not run: another endpoint may be tried.
+pub enum AttemptFailure {
+    /// The request certainly did not run: another endpoint may be tried.
     NotRun(Error),
-    /// May have run: only the caller may decide.
+    /// The request may have run: only the caller may decide whether to repeat it.
     MayHaveRun(Error),
 }
 
-impl Default for Unsent {
+impl Default for UnsentAttempt {
     fn default() -> Self {
         Self {
             attempt_id: Uuid::new_v4(),
@@ -35,46 +36,47 @@
     }
 }
 
-impl Unsent {
-    /// From here on bytes may have left.
+impl UnsentAttempt {
+    /// Marks the attempt as sent: from here on bytes may have left this process.
     #[must_use]
-    pub fn send(self) -> Sent {
-        Sent {
+    pub fn mark_sent(self) -> SentAttempt {
+        SentAttempt {
             attempt_id: self.attempt_id,
         }
     }
 
-    /// The connection was never established.
+    /// Returns the failure of an attempt whose connection was never established.
     #[must_use]
-    pub fn not_connected(self, endpoint: &str) -> Failed {
-        Failed::NotRun(Error::new(
+    pub fn not_connected(self, endpoint: &str) -> AttemptFailure {
+        AttemptFailure::NotRun(Error::new(
             ErrorKind::EndpointRefused,
             format!("endpoint {endpoint} cannot be reached; try again"),
         ))
     }
 }
 
-impl Sent {
-    /// The endpoint refused before admission and echoed this attempt.
+impl SentAttempt {
+    /// Returns the failure of an attempt that the endpoint refused before admission, with this
+    /// attempt's id in its answer.
     #[must_use]
-    pub fn refused(self, endpoint: &str) -> Failed {
-        Failed::NotRun(Error::new(
+    pub fn refused(self, endpoint: &str) -> AttemptFailure {
+        AttemptFailure::NotRun(Error::new(
             ErrorKind::EndpointRefused,
             format!("endpoint {endpoint} refused the request; try again"),
         ))
     }
 
-    /// Anything else.
+    /// Returns the failure of an attempt that ended in any other way.
     #[must_use]
-    pub fn lost(self, endpoint: &str, why: &str) -> Failed {
-        Failed::MayHaveRun(Error::new(
+    pub fn lost(self, endpoint: &str, reason: &str) -> AttemptFailure {
+        AttemptFailure::MayHaveRun(Error::new(
             ErrorKind::EndpointLost,
-            format!("endpoint {endpoint} was lost after the request was sent: {why}"),
+            format!("endpoint {endpoint} was lost after the request was sent: {reason}"),
         ))
     }
 }
 
-/// The failed attempts at one request, and the error that tells the truth about all of them.
+/// The failed attempts at one request, and the error that is correct for all of them.
 #[derive(Debug, Default)]
 pub struct FailedAttempts {
     may_have_run: Option<Error>,
@@ -82,24 +84,25 @@
 }
 
 impl FailedAttempts {
-    /// Adds a failed attempt.
-    pub fn record(&mut self, failed: Failed) {
-        match failed {
-            Failed::MayHaveRun(error) => self.may_have_run = Some(error),
-            Failed::NotRun(error) => self.not_run = Some(error),
+    /// Records a failed attempt.
+    pub fn record(&mut self, failure: AttemptFailure) {
+        match failure {
+            AttemptFailure::MayHaveRun(error) => self.may_have_run = Some(error),
+            AttemptFailure::NotRun(error) => self.not_run = Some(error),
         }
     }
 
-    /// Whether no attempt failed yet.
+    /// Returns whether no attempt has failed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.may_have_run.is_none() && self.not_run.is_none()
     }
 
-    /// The error to answer with: once any attempt may have run, no later refusal makes it "not run".
+    /// Returns the error to answer with, or `fallback` if no attempt has failed. Once an attempt
+    /// may have run, a later refusal does not turn the result into "not run".
     #[must_use]
-    pub fn error(&self, otherwise: Error) -> Error {
+    pub fn error(&self, fallback: Error) -> Error {
         let worst = self.may_have_run.as_ref().or(self.not_run.as_ref());
-        worst.cloned().unwrap_or(otherwise)
+        worst.cloned().unwrap_or(fallback)
     }
 }
