--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -205,7 +205,7 @@
             // What runs in a hall that is emptied ends where it runs. Moved as off engines that leave, it crowds the other halls: 0.024 of worth
             // (+-0.008) on a day on which two halls are emptied, 0.010 (+-0.005) on one with a loss of all, four paired seeds each.
             closed: !fleet.takes_work(&entry.id),
-            moves: shape.moves,
+            moves: shape.supports_migration,
             cold: cold_start.map(|cold_start| ColdEngine {
                 until: fleet.cold_until(&entry.id),
                 share_per_s: cold_start.share(sender),
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -299,7 +299,7 @@
     let until = if offers.runs > 0 {
         call.time_left()
     } else {
-        call.route.goal.saturating_sub(call.age())
+        call.route.latency_objective.saturating_sub(call.age())
     };
     until.saturating_sub(usual)
 }
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -222,7 +222,7 @@
             continue;
         }
         let usual = gateway.pace(&call.service, ANSWER).typical();
-        let waits_until = (call.arrived + call.route.goal).saturating_sub(usual);
+        let waits_until = (call.arrived + call.route.latency_objective).saturating_sub(usual);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
         match rests::outlook(call, is_tried, waits_until) {
             ServiceAvailability::AvailableAt { at } => gateway.sleep_until(at).await,
@@ -236,7 +236,7 @@
 fn may_repeat(call: &Call, attempts: &Attempts) -> bool {
     attempts.may_have_run < call.route.attempts_max
         && attempts.sends < SENDS_MAX
-        && call.age() < call.route.goal
+        && call.age() < call.route.latency_objective
 }
 
 /// The error that tells the truth about all attempts.
@@ -438,7 +438,7 @@
         && rests::has_another(call, &attempts.tried);
     if another {
         let pace = call.gateway.pace(&call.service, ANSWER);
-        left.min(pace.timeout(call.route.goal.saturating_sub(call.age())))
+        left.min(pace.timeout(call.route.latency_objective.saturating_sub(call.age())))
     } else {
         left
     }
--- a/src/kernel/route.rs
+++ b/src/kernel/route.rs
@@ -1,4 +1,5 @@
-//! Routes: which service a call goes to, by host and longest path prefix, and which client account may make it.
+//! Routes: map a call to a service by host and longest path prefix, and check which client account
+//! may make it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,10 +9,10 @@
 use super::cold::ColdStart;
 use crate::error::{Error, ErrorKind, Result};
 
-/// Rank of a call where neither its route nor its client account sets one.
+/// Priority of a call if neither its route nor its client account sets one.
 pub const DEFAULT_PRIORITY: u8 = 5;
 
-/// What may be done with a call whose first attempt failed.
+/// How often a call may run, which decides whether it may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
@@ -23,32 +24,34 @@
     Generation,
 }
 
-/// A route of the configuration.
+/// A configured route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, unique among routes.
     pub name: String,
     /// Host name, in lower case and without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How often a call on this route may run.
     pub kind: CallKind,
     /// Services and their weights; never empty, weights positive.
     pub services: Vec<WeightedService>,
-    /// Servers that one call may run on.
+    /// Maximum number of endpoints that one call may run on.
     pub attempts_max: u32,
-    /// The longest that a call may be held.
+    /// Maximum time that a call may take.
     pub timeout: Duration,
-    /// Time within which an answer is worth most; for a generation, until its first event.
-    pub goal: Duration,
-    /// Longest pause between events that callers accept without complaint.
+    /// Latency objective: the time within which an answer is worth most. For a generation it covers
+    /// the time to its first event.
+    #[serde(rename = "goal")]
+    pub latency_objective: Duration,
+    /// Longest pause between events that clients accept without complaint.
     pub pause_max: Option<Duration>,
     /// 0 is served first.
     pub priority: u8,
     /// Whether it may be called without a key.
     pub public: bool,
-    /// Whether a caller may come back with the id of the last event it read.
+    /// Whether a client may reconnect with the id of the last event it received.
     pub resumable: bool,
 }
 
@@ -57,57 +60,59 @@
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share of the calls, against the sum of all weights.
+    /// Share of the calls, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// A service of the configuration.
+/// A configured service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Connections that each of its endpoints accepts from all instances together.
     pub connections_max: u32,
-    /// What its endpoints bear after a start; nothing where that is not said.
+    /// The request rate that its endpoints sustain after a start; `None` if it is not configured.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
-    /// Present where its endpoints are model engines.
-    pub engine: Option<EngineShape>,
+    /// Set if its endpoints are model engines.
+    pub engine: Option<EngineCapabilities>,
 }
 
-/// The size and abilities of a service's engines.
+/// The capacity and features of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct EngineShape {
-    /// Generations decoded at once.
+pub struct EngineCapabilities {
+    /// Generations decoded concurrently.
     pub slots: u32,
-    /// Memory shared by running generations and cached prompts, in tokens.
+    /// KV-cache memory shared by running generations and cached prompts, in tokens.
     pub memory_tokens: u32,
-    /// Bytes that one token takes in memory, and so on a link.
+    /// Bytes per token, in memory and in a transfer.
     pub token_bytes: u64,
-    /// Speed of an engine's link for moved memory.
+    /// Bandwidth of an engine's link for migrated memory.
     pub link_mbps: f64,
-    /// Whether running generations can be moved.
-    pub moves: bool,
-    /// Tokens in one event.
+    /// Whether running generations can be migrated.
+    #[serde(rename = "moves")]
+    pub supports_migration: bool,
+    /// Tokens per event.
     pub event_tokens: u32,
-    /// How long an unused copy is kept.
-    pub copy_kept: Duration,
+    /// How long an unused copy is retained.
+    #[serde(rename = "copy_kept")]
+    pub copy_retention: Duration,
 }
 
-/// What callers may send.
+/// Limits on the requests of clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallLimits {
-    /// Largest head of a request.
+    /// Largest request head.
     pub head_max_bytes: usize,
-    /// Largest body of a request.
+    /// Largest request body.
     pub body_max_bytes: usize,
     /// Longest time to send a head.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be at rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallLimits {
     fn default() -> Self {
-        // Used only before a configuration is known; the figures are those of the first sites.
+        // Used only until a configuration is known; the values are those of the first sites.
         Self {
             head_max_bytes: 16 << 10,
             body_max_bytes: 4 << 20,
@@ -120,30 +125,30 @@
 /// A client account and its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedAccount {
-    /// Name.
+    /// Name of the account.
     pub name: String,
-    /// Keys in force.
+    /// Valid keys.
     pub keys: Vec<String>,
-    /// Goes before the priority of the route.
+    /// Overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// A configuration of routes, as one version.
+/// One version of the route configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// Rises with every change.
+    /// Incremented on every change.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Limits.
+    /// Limits on requests.
     pub limits: CallLimits,
-    /// Client accounts; absent where calls need no key.
+    /// Client accounts; `None` if calls need no key.
     pub accounts: Option<Vec<KeyedAccount>>,
 }
 
-/// A configuration with its indexes.
+/// A route configuration with its indexes.
 #[derive(Debug)]
 pub struct RouteTable {
     config: RouteConfig,
@@ -153,17 +158,17 @@
     by_key: HashMap<String, usize>,
 }
 
-/// Who makes a call.
+/// The account that makes a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerAccount<'a> {
-    /// The configuration asks for no key here.
+    /// The call needs no key.
     Anyone,
-    /// The owner of the key.
+    /// The account that the key belongs to.
     Account(&'a KeyedAccount),
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Creates the indexes of a configuration.
     #[must_use]
     pub fn new(config: RouteConfig) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
@@ -171,8 +176,8 @@
             by_host.entry(route.host.clone()).or_default().push(index);
         }
         for indexes in by_host.values_mut() {
-            let length = |index: &usize| config.routes[*index].path_prefix.len();
-            indexes.sort_by_key(|index| std::cmp::Reverse(length(index)));
+            let prefix_length = |index: &usize| config.routes[*index].path_prefix.len();
+            indexes.sort_by_key(|index| std::cmp::Reverse(prefix_length(index)));
         }
         let mut by_key = HashMap::new();
         for (index, account) in config.accounts.iter().flatten().enumerate() {
@@ -187,28 +192,28 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub fn config(&self) -> &RouteConfig {
         &self.config
     }
 
-    /// Its version.
+    /// Returns the version of the configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.config.services.get(name)
     }
 
-    /// The route of a host whose prefix is the longest that begins the path.
+    /// Returns the route of a host with the longest prefix of the path.
     ///
     /// # Errors
-    /// No route fits.
+    /// No route matches.
     pub fn find(&self, host: &str, path: &str) -> Result<&Route> {
         let name = host_name(host);
         let indexes = self.by_host.get(&name).map_or(&[][..], Vec::as_slice);
@@ -223,10 +228,10 @@
             })
     }
 
-    /// Who may call a route with a key.
+    /// Returns the account that calls a route with a key.
     ///
     /// # Errors
-    /// The route needs a key that is in force.
+    /// The route needs a valid key.
     pub fn authorize(&self, route: &Route, key: Option<&str>) -> Result<CallerAccount<'_>> {
         let Some(accounts) = &self.config.accounts else {
             return Ok(CallerAccount::Anyone);
@@ -244,7 +249,7 @@
 }
 
 impl CallerAccount<'_> {
-    /// Name of the account, if there is one.
+    /// Returns the name of the account, if there is one.
     #[must_use]
     pub fn name(&self) -> Option<&str> {
         match self {
@@ -253,7 +258,7 @@
         }
     }
 
-    /// The rank of its calls on a route.
+    /// Returns the priority of its calls on a route.
     #[must_use]
     pub fn priority(&self, route: &Route) -> u8 {
         match self {
@@ -264,22 +269,25 @@
 }
 
 impl Route {
-    /// The service for a call, by a number drawn evenly from 0 to 1.
+    /// Returns the service for a call, chosen by weight with a random number evenly distributed
+    /// from 0 to 1.
     #[must_use]
-    pub fn choose_service(&self, drawn: f64) -> &str {
-        let total: u32 = self.services.iter().map(|one| one.weight).sum();
-        let mut left = drawn * f64::from(total);
-        for one in &self.services {
-            left -= f64::from(one.weight);
-            if left < 0.0 {
-                return &one.service;
+    pub fn choose_service(&self, random: f64) -> &str {
+        let total: u32 = self.services.iter().map(|weighted| weighted.weight).sum();
+        let mut remaining = random * f64::from(total);
+        for weighted in &self.services {
+            remaining -= f64::from(weighted.weight);
+            if remaining < 0.0 {
+                return &weighted.service;
             }
         }
-        self.services.last().map_or("", |one| &one.service)
+        self.services
+            .last()
+            .map_or("", |weighted| &weighted.service)
     }
 }
 
-/// A host header's name, in lower case and without the port.
+/// Returns the name in a `Host` header, in lower case and without the port.
 fn host_name(host: &str) -> String {
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     name.to_ascii_lowercase()
--- a/src/platform/operator_config.rs
+++ b/src/platform/operator_config.rs
@@ -8,8 +8,8 @@
 use super::unknown;
 use crate::kernel::cold::ColdStart;
 use crate::kernel::route::{
-    CallKind, CallLimits, DEFAULT_PRIORITY, EngineShape, KeyedAccount, Route, RouteConfig, Service,
-    WeightedService,
+    CallKind, CallLimits, DEFAULT_PRIORITY, EngineCapabilities, KeyedAccount, Route, RouteConfig,
+    Service, WeightedService,
 };
 
 /// Hold time of a route that names none; the longest that the first sites use.
@@ -176,7 +176,7 @@
         services,
         attempts_max: wire.max_attempts.unwrap_or(1).max(1),
         timeout: ms(wire.timeout_ms.unwrap_or(ROUTE_TIMEOUT_MS)),
-        goal: ms(wire.goal_ms.unwrap_or(ROUTE_GOAL_MS)),
+        latency_objective: ms(wire.goal_ms.unwrap_or(ROUTE_GOAL_MS)),
         pause_max: wire
             .longest_pause_ms
             .map(|pause_ms| seconds(pause_ms / 1_000.0)),
@@ -201,14 +201,14 @@
 }
 
 fn service(wire: WireService) -> (String, Service) {
-    let engine = wire.engine.map(|engine| EngineShape {
+    let engine = wire.engine.map(|engine| EngineCapabilities {
         slots: engine.slots,
         memory_tokens: engine.kv_capacity,
         token_bytes: engine.token_kv_bytes,
         link_mbps: engine.link_mbps,
-        moves: engine.moves,
+        supports_migration: engine.moves,
         event_tokens: engine.stride.max(1),
-        copy_kept: seconds(engine.handle_s.unwrap_or(COPY_KEPT_S)),
+        copy_retention: seconds(engine.handle_s.unwrap_or(COPY_KEPT_S)),
     });
     let bears_per_s = wire.cold_per_s.filter(|per_s| *per_s > 0.0);
     let cold_start = bears_per_s.map(|bears_per_s| ColdStart {
--- a/tests/kernel/routes.rs
+++ b/tests/kernel/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: host and longest prefix, keys, split services.
+//! Routes: matching by host and longest prefix, keys, and weighted services.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
         }],
         attempts_max: 1,
         timeout: Duration::from_secs(1),
-        goal: Duration::from_millis(100),
+        latency_objective: Duration::from_millis(100),
         pause_max: None,
         priority: 3,
         public: false,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn authorize_keys_and_public_routes() {
+fn authorize_by_key_or_public_route() {
     let mut open = route("open", "h", "/o/");
     open.public = true;
     let closed = route("closed", "h", "/c/");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn choose_service_weights_kept() {
+fn choose_service_follows_weights() {
     let mut split = route("split", "h", "/");
     split.services = vec![
         WeightedService {
