--- a/src/kernel/cooldown.rs
+++ b/src/kernel/cooldown.rs
@@ -111,8 +111,9 @@
 }
 
 impl ServiceAvailability {
-    /// Returns the availability for a request that can wait until `waits_until`. `unavailable_until` holds,
-    /// for each endpoint that accepts work, until when it is unavailable; `None` if it is available.
+    /// Returns the availability for a request that can wait until `waits_until`.
+    /// `unavailable_until` holds, for each endpoint that accepts work, until when it is
+    /// unavailable; `None` if it is available.
     #[must_use]
     pub fn for_request(
         unavailable_until: impl IntoIterator<Item = Option<Duration>>,
--- a/tests/kernel/crash_suspects.rs
+++ b/tests/kernel/crash_suspects.rs
@@ -268,7 +268,7 @@
     let mut observer = with_crashes(id, &[crash_at_start(1)]);
     assert!(
         observer.due_for_store(false, SECOND).is_empty(),
-        "one end is not worth a call"
+        "one crash is not worth a call"
     );
     observer.record_crash(id, crash_at_start(2), SECOND);
     let due = observer.due_for_store(false, SECOND);
@@ -345,7 +345,10 @@
         let separate: Vec<SuspectReport> = crashes
             .iter()
             .flat_map(|(endpoint, at_start)| {
-                reports(&with_crashes(id, &[EndpointCrash { at_start: *at_start, ..crash_at_start(*endpoint) }]))
+                reports(&with_crashes(
+                    id,
+                    &[EndpointCrash { at_start: *at_start, ..crash_at_start(*endpoint) }],
+                ))
             })
             .collect();
         let mut one = CrashSuspects::default();
--- a/tests/kernel/limit.rs
+++ b/tests/kernel/limit.rs
@@ -121,7 +121,7 @@
     assert_eq!(
         second.per_s("e"),
         Some(2.0),
-        "an outdated end must not clear a newer limit"
+        "an outdated update must not clear a newer limit"
     );
 }
 
@@ -152,17 +152,17 @@
 /// is answered, then until the answer arrives.
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    send_delay: u64,
+    sent_after: u64,
     answer_delay: u64,
-    arrival_delay: u64,
+    arrives_in: u64,
 }
 
 fn requests() -> impl Strategy<Value = Vec<Request>> {
     let request = (0_u64..400, 0_u64..2_000, 0_u64..2_000);
-    let request = request.prop_map(|(send_delay, answer_delay, arrival_delay)| Request {
-        send_delay,
+    let request = request.prop_map(|(sent_after, answer_delay, arrives_in)| Request {
+        sent_after,
         answer_delay,
-        arrival_delay,
+        arrives_in,
     });
     prop::collection::vec(request, 1..60)
 }
@@ -189,13 +189,16 @@
     /// ends the limit. A final request, sent after all other answers have arrived, leaves the
     /// endpoint's latest signal in force.
     #[test]
-    fn record_signal_answers_out_of_order_no_older_one_ends_limit(requests in requests(), announced in announced()) {
+    fn record_signal_answers_out_of_order_no_older_one_ends_limit(
+        requests in requests(),
+        announced in announced(),
+    ) {
         let mut sent_at = 0;
         let mut answers: Vec<(u64, u64, u64)> = Vec::new();
         for request in &requests {
-            sent_at += request.send_delay;
+            sent_at += request.sent_after;
             let answered_at = sent_at + request.answer_delay;
-            answers.push((answered_at + request.arrival_delay, sent_at, answered_at));
+            answers.push((answered_at + request.arrives_in, sent_at, answered_at));
         }
         answers.sort_unstable();
         let mut limits = EndpointLimits::default();
--- a/tests/kernel/permits.rs
+++ b/tests/kernel/permits.rs
@@ -36,7 +36,7 @@
         let now = NOW + Duration::from_millis(number * 10);
         permits.request(ENDPOINT, requester, limit, now)
     });
-    let granted = decisions.filter(|answer| *answer == PermitDecision::Granted);
+    let granted = decisions.filter(|decision| *decision == PermitDecision::Granted);
     u32::try_from(granted.count()).expect("few")
 }
 
@@ -135,7 +135,7 @@
 const STEP: Duration = Duration::from_millis(20);
 const STEPS: u32 = 3_000;
 /// A member that has not been heard from for this long counts as unreachable, as in `membership`.
-const SILENT_AFTER: Duration = Duration::from_millis(2_500);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The period over which users count requests.
 const PERIOD: Duration = Duration::from_secs(4);
 
@@ -156,7 +156,7 @@
 
 struct Instance {
     permits: PermitIssuer,
-    instance_counter: InstanceCounter,
+    counter: InstanceCounter,
     last_contact: BTreeMap<usize, Duration>,
     paused_until: Duration,
     /// When it reads the list of all instance names.
@@ -169,7 +169,7 @@
     fn new(now: Duration, names_known_at: Duration) -> Self {
         Self {
             permits: PermitIssuer::default(),
-            instance_counter: InstanceCounter::default(),
+            counter: InstanceCounter::default(),
             last_contact: BTreeMap::new(),
             paused_until: now,
             names_known_at,
@@ -179,7 +179,7 @@
 
     fn is_reachable(&self, other: usize, now: Duration) -> bool {
         let last_contact = self.last_contact.get(&other);
-        last_contact.is_some_and(|at| now.saturating_sub(*at) < SILENT_AFTER)
+        last_contact.is_some_and(|at| now.saturating_sub(*at) < CONTACT_TIMEOUT)
     }
 }
 
@@ -207,8 +207,8 @@
         }
     }
 
-    fn begin(&mut self, fault: Fault, lasts: Duration) {
-        let until = self.now + lasts;
+    fn begin(&mut self, fault: Fault, duration: Duration) {
+        let until = self.now + duration;
         match fault {
             Fault::Partition(_) | Fault::LinkDown(..) => self.faults.push((fault, until)),
             Fault::Paused(instance) => {
@@ -216,9 +216,7 @@
                 self.instances[instance].paused_until = until;
             }
             Fault::Restart(instance) => self.restart(instance % self.instances.len()),
-            Fault::RestartAll => {
-                (0..self.instances.len()).for_each(|instance| self.restart(instance))
-            }
+            Fault::RestartAll => (0..self.instances.len()).for_each(|index| self.restart(index)),
         }
     }
 
@@ -275,7 +273,7 @@
                 })
                 .collect();
             self.instances[instance]
-                .instance_counter
+                .counter
                 .observe(named.into_iter(), now);
         }
     }
@@ -307,11 +305,7 @@
         let requester = self.names[instance].clone();
         let now = self.now;
         let issuing = &mut self.instances[issuer];
-        let share = limit(
-            self.limit_per_s,
-            reachable,
-            issuing.instance_counter.count(),
-        );
+        let share = limit(self.limit_per_s, reachable, issuing.counter.count());
         if issuing.permits.request(ENDPOINT, &requester, share, now) == PermitDecision::Granted {
             self.instances[instance]
                 .unused_permits
