--- a/src/gateway/aborted_requests.rs
+++ b/src/gateway/aborted_requests.rs
@@ -12,7 +12,7 @@
 use super::node::Gateway;
 use super::upstream::Upstream;
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
 
 /// Lifetime of a probe result. An endpoint that exits closes all its connections within
@@ -86,7 +86,7 @@
 struct AbortedRequest {
     gateway: Arc<Gateway>,
     request_id: String,
-    fingerprint: ContentId,
+    fingerprint: RequestFingerprint,
     endpoint: EndpointEntry,
     ran_for: Duration,
 }
@@ -143,7 +143,7 @@
             gateway.runs.note_not_taken(service, id, true);
             gateway.ledgers.changed.notify_one();
         } else {
-            gateway.health.lock().note_absent(id, gateway.now());
+            gateway.health.lock().record_absent(id, gateway.now());
         }
     }
 
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -268,10 +268,10 @@
     loop {
         while let Err(error) = gateway.store.announce(&entry).await {
             warn!("own entry not written", kv: { why: = error });
-            let pause = pause.failed(rand::rng().random_range(0.0..1.0));
+            let pause = pause.next_pause(rand::rng().random_range(0.0..1.0));
             tokio::time::sleep(pause).await;
         }
-        pause.succeeded();
+        pause.reset();
         // The store may come back from a copy that lacks it.
         gateway.entry_lost.notified().await;
     }
@@ -333,7 +333,7 @@
         gateway.cold_gate.lock().prune(gateway.now());
         let now = gateway.now();
         let is_known = |endpoint: &str| known.contains(endpoint);
-        gateway.words.rests.lock().tidy(is_known, now);
+        gateway.words.rests.lock().prune(is_known, now);
         gateway.words.permits.tidy(is_known);
         gateway
             .upstream
@@ -341,6 +341,6 @@
         gateway
             .health
             .lock()
-            .retain(|endpoint| known.contains(endpoint));
+            .prune(|endpoint| known.contains(endpoint));
     }
 }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -14,9 +14,11 @@
 use super::site_store::{KeptSuspect, SiteStore};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::backoff::Backoff;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::{
+    EndpointCrash, START_WINDOW, SuspectChange, SuspectReport, Verdict, short_hash, software_id,
+};
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::suspects::{BEGINNING, Change, End, Told, Verdict, short_hash, software_id};
 use crate::peer::convert::BadField;
 use crate::peer::generated as wire;
 
@@ -50,7 +52,7 @@
 pub(super) fn current_verdict(call: &Call) -> Verdict {
     let gateway = &call.gateway;
     if !may_be_known(call) {
-        return Verdict::Sound;
+        return Verdict::Allowed;
     }
     let fingerprint = call.fingerprint();
     let now = gateway.now();
@@ -64,7 +66,7 @@
         return false;
     }
     let head = call.fingerprint_head();
-    suspects.lock().knows_head(head)
+    suspects.lock().has_head(head)
 }
 
 /// Decides whether a request may be sent; `restricted` says that it was already admitted to some
@@ -94,7 +96,7 @@
     let fingerprint = call.fingerprint();
     let suspects = call.gateway.suspects.lock();
     let mut versions = ready.iter().map(software);
-    versions.find(|software| suspects.is_sound_on(fingerprint, *software))
+    versions.find(|software| suspects.has_finished_on(fingerprint, *software))
 }
 
 /// Starts a trial of the request on a software version that has not run it, and returns that
@@ -146,11 +148,12 @@
     }
     let gateway = &call.gateway;
     let fingerprint = call.fingerprint();
-    let change = gateway
-        .suspects
-        .lock()
-        .survived(fingerprint, software(endpoint), gateway.now());
-    if change != Change::None {
+    let change =
+        gateway
+            .suspects
+            .lock()
+            .record_survival(fingerprint, software(endpoint), gateway.now());
+    if change != SuspectChange::None {
         info!("suspected content finished", kv: {
             content: = fingerprint, endpoint = endpoint.id.as_str(), request_id = call.head.request_id.as_str(),
         });
@@ -165,7 +168,10 @@
     }
     let gateway = &call.gateway;
     let fingerprint = call.fingerprint();
-    gateway.suspects.lock().ran_on(fingerprint, gateway.now());
+    gateway
+        .suspects
+        .lock()
+        .record_ran_past_start(fingerprint, gateway.now());
 }
 
 impl Gateway {
@@ -173,18 +179,21 @@
     /// first event.
     pub(super) fn record_crash(
         self: &Arc<Self>,
-        fingerprint: ContentId,
+        fingerprint: RequestFingerprint,
         endpoint: &EndpointEntry,
         ran_for: Duration,
     ) {
-        let end = End {
+        let end = EndpointCrash {
             endpoint: short_hash(&endpoint.id),
             software: software(endpoint),
-            beginning: ran_for < BEGINNING,
+            at_start: ran_for < START_WINDOW,
         };
-        let change = self.suspects.lock().ended(fingerprint, end, self.now());
+        let change = self
+            .suspects
+            .lock()
+            .record_crash(fingerprint, end, self.now());
         self.handle_suspect_change(fingerprint, change, "seen here");
-        if change != Change::None {
+        if change != SuspectChange::None {
             // The caller may retry at once at any instance. With regular heartbeats each 0.5 s, 14
             // attempts 28 ms apart at three instances crashed nine engines instead of three (six
             // runs).
@@ -194,8 +203,8 @@
 
     /// Releases a suspect at the request of an operator, here and, by gossip, at all instances.
     /// Returns whether it was known.
-    pub(super) fn release_suspect(self: &Arc<Self>, fingerprint: ContentId) -> bool {
-        let was_known = self.suspects.lock().let_go(fingerprint, self.now());
+    pub(super) fn release_suspect(self: &Arc<Self>, fingerprint: RequestFingerprint) -> bool {
+        let was_known = self.suspects.lock().release(fingerprint, self.now());
         if was_known {
             info!("content let go by an operator", kv: { content: = fingerprint });
             self.suspects_changed.notify_one();
@@ -210,10 +219,10 @@
         suspects: Vec<wire::Suspect>,
     ) -> Result<(), BadField> {
         for received in suspects {
-            let received: Told = received.try_into()?;
-            let change = self.suspects.lock().take(&received, self.now());
-            self.handle_suspect_change(received.content, change, "member");
-            if change == Change::NowRefused {
+            let received: SuspectReport = received.try_into()?;
+            let change = self.suspects.lock().merge(&received, self.now());
+            self.handle_suspect_change(received.fingerprint, change, "member");
+            if change == SuspectChange::NowRefused {
                 heartbeat::beat_soon(self);
             }
         }
@@ -225,32 +234,37 @@
         let received = kept.told(self.clock.unix_time());
         let change = {
             let mut suspects = self.suspects.lock();
-            let change = suspects.take(&received, self.now());
-            suspects.kept(&received);
+            let change = suspects.merge(&received, self.now());
+            suspects.mark_stored(&received);
             change
         };
-        self.handle_suspect_change(received.content, change, "store");
+        self.handle_suspect_change(received.fingerprint, change, "store");
     }
 
     /// Returns the suspects to send to peers.
     pub(super) fn suspect_updates(&self) -> Vec<wire::Suspect> {
-        let updates = self.suspects.lock().news(self.now());
+        let updates = self.suspects.lock().recent_updates(self.now());
         updates.iter().map(Into::into).collect()
     }
 
-    fn handle_suspect_change(&self, fingerprint: ContentId, change: Change, source: &str) {
-        if change == Change::None {
+    fn handle_suspect_change(
+        &self,
+        fingerprint: RequestFingerprint,
+        change: SuspectChange,
+        source: &str,
+    ) {
+        if change == SuspectChange::None {
             return;
         }
         self.suspects_changed.notify_one();
         let (known, refused) = {
             let suspects = self.suspects.lock();
-            (suspects.len(), suspects.refused())
+            (suspects.len(), suspects.refused_count())
         };
         let gauge = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
         metrics::gauge!("larkwick_suspects", "kind" => "known").set(gauge(known));
         metrics::gauge!("larkwick_suspects", "kind" => "refused").set(gauge(refused));
-        if change == Change::NowRefused {
+        if change == SuspectChange::NowRefused {
             warn!("crashing content found", kv: { content: = fingerprint, source, known:, refused: });
         }
     }
@@ -272,12 +286,12 @@
             () = gateway.suspects_changed.notified() => {}
         }
         match sync_with_store(&gateway).await {
-            Ok(()) => backoff.succeeded(),
+            Ok(()) => backoff.reset(),
             Err(why) => {
                 if crate::log::admits("content not kept") {
                     warn!("content not kept", kv: { why = why.as_str() });
                 }
-                let pause = backoff.failed(rand::rng().random_range(0.0..1.0));
+                let pause = backoff.next_pause(rand::rng().random_range(0.0..1.0));
                 tokio::time::sleep(pause).await;
                 gateway.suspects_changed.notify_one();
             }
@@ -294,13 +308,13 @@
             return Ok(());
         }
         let expired = suspects.expire(now);
-        (suspects.to_keep(is_keeper, now), expired)
+        (suspects.due_for_store(is_keeper, now), expired)
     };
     for suspect in unsaved {
         let kept = KeptSuspect::new(suspect.clone(), gateway.clock.unix_time());
         let written = gateway.store.keep_suspect(&kept).await;
         written.map_err(|error| error.to_string())?;
-        gateway.suspects.lock().kept(&suspect);
+        gateway.suspects.lock().mark_stored(&suspect);
     }
     for fingerprint in expired.into_iter().filter(|_| is_keeper) {
         let dropped = gateway.store.drop_suspect(fingerprint).await;
--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -9,20 +9,23 @@
 use super::inbound_call::Call;
 use super::node::Gateway;
 use super::site_store::Subject;
+use crate::kernel::cooldown::{RETRY_AFTER_SPREAD, ServiceAvailability};
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::rest::{COME_BACK_SPREAD, Outlook};
 
 impl Gateway {
     /// Returns whether an endpoint is cooling down for this instance.
     pub(crate) fn is_cooling_down(&self, endpoint: &str) -> bool {
-        self.words.rests.lock().is_resting(endpoint, self.now())
+        self.words
+            .rests
+            .lock()
+            .is_cooling_down(endpoint, self.now())
     }
 
     /// Admits a request to an endpoint, also during its cooldown, on behalf of generations that
     /// already run there. Returns whether it may be sent; it must then be sent at once.
     pub(crate) fn try_admit_exempt(&self, endpoint: &str) -> bool {
         let now = self.now();
-        self.words.rests.lock().admits_relief(endpoint, now)
+        self.words.rests.lock().try_admit_exempt(endpoint, now)
     }
 
     /// Returns the endpoints that get no new requests from here for now: those that are cooling
@@ -37,7 +40,7 @@
     pub(crate) fn cooling_down_endpoints(&self) -> BTreeSet<String> {
         let now = self.now();
         let rests = self.words.rests.lock();
-        rests.resting(now).map(str::to_owned).collect()
+        rests.cooling_down(now).map(str::to_owned).collect()
     }
 }
 
@@ -57,7 +60,7 @@
     call: &Call,
     is_excluded: impl Fn(&EndpointEntry) -> bool,
     wait_until: Duration,
-) -> Outlook {
+) -> ServiceAvailability {
     let gateway = &call.gateway;
     let now = gateway.now();
     let (no_endpoint_ready, ready) = {
@@ -70,13 +73,13 @@
     };
     if no_endpoint_ready && gateway.store.is_store_away(Subject::Endpoints) {
         let until = now + LIST_OUTAGE_RETRY_AFTER;
-        return Outlook::Closed { until };
+        return ServiceAvailability::Unavailable { until };
     }
     let unavailable_until = ready.iter().map(|endpoint| {
-        let cooldown_until = gateway.words.rests.lock().until(endpoint, now);
+        let cooldown_until = gateway.words.rests.lock().ends_at(endpoint, now);
         cooldown_until.max(gateway.words.permits.none_before(endpoint))
     });
-    Outlook::of(unavailable_until, wait_until)
+    ServiceAvailability::for_request(unavailable_until, wait_until)
 }
 
 /// Returns whether the call can be sent to an available endpoint that was not tried.
@@ -91,11 +94,12 @@
 /// now; `None` if one is available or may become known at any moment.
 pub(super) fn retry_after_cooldown(call: &Call) -> Option<Duration> {
     match cooldown_outlook(call, |_| false, Duration::ZERO) {
-        Outlook::Open => None,
-        Outlook::Opens { at: until } | Outlook::Closed { until } => {
+        ServiceAvailability::Available => None,
+        ServiceAvailability::AvailableAt { at: until }
+        | ServiceAvailability::Unavailable { until } => {
             let remaining = until.saturating_sub(call.gateway.now());
             let remaining = remaining.max(RETRY_AFTER_MIN);
-            Some(remaining.mul_f64(rand::rng().random_range(1.0..COME_BACK_SPREAD)))
+            Some(remaining.mul_f64(rand::rng().random_range(1.0..RETRY_AFTER_SPREAD)))
         }
     }
 }
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -8,7 +8,7 @@
 
 use super::inbound_call::Call;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::pace::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 
 /// Returns a random endpoint that was not tried, drawn by weight; `None` if all were tried, are
 /// cooling down or are rate-limited.
@@ -17,7 +17,7 @@
 pub(super) fn select_endpoint(
     call: &Call,
     tried: &HashSet<String>,
-    initial_response_time: Pace,
+    initial_response_time: ResponseTimeEstimate,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let now = gateway.now();
@@ -83,12 +83,12 @@
 fn draw_weighted(
     call: &Call,
     candidates: Vec<EndpointEntry>,
-    initial_response_time: Pace,
+    initial_response_time: ResponseTimeEstimate,
     now: Duration,
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway.pace(&call.service, initial_response_time).late();
+        let late_after = gateway.pace(&call.service, initial_response_time).overdue();
         let health = gateway.health.lock();
         let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
         candidates.iter().map(weight).collect()
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -13,16 +13,16 @@
 use super::node::Gateway;
 use super::permits::PermitDesk;
 use crate::kernel::clock::{Clock, millis};
+use crate::kernel::cooldown::EndpointCooldowns;
 use crate::kernel::fleet::{Fleet, FleetChange};
-use crate::kernel::limit::LimitWord;
-use crate::kernel::rest::Rests;
+use crate::kernel::limit::LimitSignal;
 
 /// What endpoints say of themselves, on its way to whom it concerns.
 pub(crate) struct EndpointWords {
     clock: Arc<dyn Clock>,
     fleet: Arc<Mutex<Fleet>>,
     /// Endpoints that asked this instance for rest. No other lock is taken while it is held.
-    pub(super) rests: Mutex<Rests>,
+    pub(super) rests: Mutex<EndpointCooldowns>,
     /// What endpoints take from all instances together.
     pub(super) permits: Arc<PermitDesk>,
     /// Wakes the task that tells the owners and the members of endpoints that leave, and of limits.
@@ -55,13 +55,13 @@
         if let Some(rest) = head.signals.cooldown {
             self.told_rest(endpoint, rest);
         }
-        if head.signals.limit != LimitWord::Unsaid || head.request_id.is_some() {
+        if head.signals.limit != LimitSignal::Absent || head.request_id.is_some() {
             // What shows no sign of the endpoint's own answers does not end a limit.
             self.told_limit(endpoint, head.signals.limit, sent_at);
         }
     }
 
-    fn told_limit(&self, endpoint: &str, word: LimitWord, sent_at: Duration) {
+    fn told_limit(&self, endpoint: &str, word: LimitSignal, sent_at: Duration) {
         if self.permits.take_word(endpoint, word, sent_at) {
             self.tell_limits();
         }
@@ -74,7 +74,7 @@
 
     fn told_rest(&self, endpoint: &str, rest: Duration) {
         let now = self.clock.now();
-        let is_news = self.rests.lock().ask(endpoint, rest, now);
+        let is_news = self.rests.lock().start(endpoint, rest, now);
         if is_news {
             metrics::counter!("larkwick_endpoint_rests_total").increment(1);
             if crate::log::admits("endpoint asks for rest") {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -11,7 +11,7 @@
 use super::node::{Gateway, MEMBER_RING};
 use super::site_store::{MemberEntry, SitePage, SiteRecord, SiteStore, StoreError, Subject};
 use crate::kernel::backoff::Backoff;
-use crate::kernel::content::ContentId;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::{FleetChange, ListUpdate};
 use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::kernel::position::Position;
@@ -57,7 +57,7 @@
     }
 
     fn answered(&mut self, gateway: &Gateway) {
-        self.pause.succeeded();
+        self.pause.reset();
         let Some(since) = self.lost_since.take() else {
             return;
         };
@@ -72,7 +72,7 @@
             self.lost_since = Some(gateway.now());
             warn!("store lost", kv: { subject = self.subject.name(), why: = error });
         }
-        let pause = self.pause.failed(rand::rng().random_range(0.0..1.0));
+        let pause = self.pause.next_pause(rand::rng().random_range(0.0..1.0));
         let knows_nothing = gateway.store.knows_nothing(self.subject);
         let pause_max = if knows_nothing {
             PAUSE_UNKNOWN
@@ -194,8 +194,8 @@
         SiteRecord::Suspect(kept) => Some(kept.content()),
         _ => None,
     });
-    let kept: BTreeSet<ContentId> = kept.collect();
-    if gateway.suspects.lock().keep_only(&kept) {
+    let kept: BTreeSet<RequestFingerprint> = kept.collect();
+    if gateway.suspects.lock().sync_stored(&kept) {
         gateway.suspects_changed.notify_one();
     }
 }
@@ -251,7 +251,7 @@
         SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
         SiteRecord::Member(entry) => take_member(gateway, entry),
         SiteRecord::Suspect(kept) => gateway.merge_stored_suspect(&kept),
-        SiteRecord::SuspectGone(content) => gateway.suspects.lock().not_kept(content),
+        SiteRecord::SuspectGone(content) => gateway.suspects.lock().mark_not_stored(content),
         SiteRecord::HallOrder(order) => gateway.order_hall(&order),
         SiteRecord::EvacuatedHalls(told) => gateway.take_halls(&told, "store"),
         SiteRecord::Unreadable { key, why } => {
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -8,7 +8,7 @@
 
 use super::message_heads::CallHead;
 use super::node::{Counted, Gateway};
-use crate::kernel::content::{ContentHead, ContentId, HeadId};
+use crate::kernel::fingerprint::{FingerprintHead, HeadHash, RequestFingerprint};
 use crate::kernel::route::{Route, RouteTable};
 
 /// A call in flight.
@@ -31,7 +31,7 @@
     pub(crate) deadline: Duration,
     /// Request fingerprint, computed on first use: most calls never need it, so their bodies are
     /// not hashed.
-    pub(crate) fingerprint: OnceLock<ContentId>,
+    pub(crate) fingerprint: OnceLock<RequestFingerprint>,
     /// Delays the shutdown of the instance until the call ends.
     pub(crate) _counted: Counted,
 }
@@ -39,20 +39,20 @@
 impl Call {
     /// Returns the fingerprint of everything but the body: method, host, path, client account and
     /// body length.
-    pub(crate) fn fingerprint_head(&self) -> HeadId {
+    pub(crate) fn fingerprint_head(&self) -> HeadHash {
         let path = self.parts.uri.path_and_query();
-        let head = ContentHead {
+        let head = FingerprintHead {
             method: self.parts.method.as_str(),
             host: &self.route.host,
             path: path.map_or("/", http::uri::PathAndQuery::as_str),
             account: self.account.as_deref(),
             body_bytes: self.body.len(),
         };
-        head.id()
+        head.hash()
     }
 
     /// Returns the request fingerprint, which includes the body.
-    pub(crate) fn fingerprint(&self) -> ContentId {
+    pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         let compute = || self.fingerprint_head().with_body(&self.body);
         *self.fingerprint.get_or_init(compute)
     }
--- a/src/gateway/ledgers.rs
+++ b/src/gateway/ledgers.rs
@@ -10,7 +10,7 @@
 use crate::kernel::cold_start::Sender;
 use crate::kernel::engine_ledger::{EngineLedger, EngineSummary};
 use crate::kernel::owner_contact::OwnerContact;
-use crate::kernel::permits::SumShare;
+use crate::kernel::permits::IssuerShare;
 
 /// Where a generation that waits for room is answered.
 pub(crate) struct Waiter {
@@ -29,7 +29,7 @@
     /// State of the limits that endpoints name.
     pub(crate) limits_version: u64,
     /// The part of these limits that is placed from here, where there are any.
-    pub(crate) limit_share: Option<SumShare>,
+    pub(crate) limit_share: Option<IssuerShare>,
 }
 
 #[derive(Default)]
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -30,15 +30,15 @@
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::Clock;
 use crate::kernel::cold_start::ColdRateLimiter;
+use crate::kernel::crash_suspects::CrashSuspects;
 use crate::kernel::exclusive_task::ExclusiveTask;
 use crate::kernel::fleet::Fleet;
 use crate::kernel::health::EndpointHealth;
+use crate::kernel::instance_count::InstanceCounter;
 use crate::kernel::membership::{Incarnation, Members, PeerStatus};
-use crate::kernel::pace::Pace;
+use crate::kernel::response_time::ResponseTimeEstimate;
 use crate::kernel::retry::{RetryAllowance, RetryBudget};
 use crate::kernel::route::{RouteConfig, RouteTable};
-use crate::kernel::sharers::Sharers;
-use crate::kernel::suspects::Suspects;
 use crate::peer::client::PeerClients;
 use crate::settings::Settings;
 use crate::settings::routing::RoutingSettings;
@@ -133,7 +133,7 @@
     fleet_known: std::sync::atomic::AtomicBool,
     pub(crate) members: Arc<Mutex<Members>>,
     /// The members that share the site's allowances.
-    sharers: Mutex<Sharers>,
+    sharers: Mutex<InstanceCounter>,
     /// When heartbeats last went to members out of turn.
     pub(crate) beaten_soon_at: Mutex<Option<Duration>>,
     /// The members that live, with what they can carry.
@@ -150,11 +150,11 @@
     retries: Mutex<HashMap<String, ServiceRepeats>>,
     started_at: Duration,
     /// How long the services take to answer, by name.
-    paces: Mutex<HashMap<String, Pace>>,
+    paces: Mutex<HashMap<String, ResponseTimeEstimate>>,
     pub(crate) upstream: Upstream,
     pub(crate) suspensions: Suspensions,
     /// Contents that endpoints ended under.
-    pub(crate) suspects: Mutex<Suspects>,
+    pub(crate) suspects: Mutex<CrashSuspects>,
     /// Wakes the task that has them kept by the store.
     pub(crate) suspects_changed: Notify,
     /// Endpoints that broke off answers of late.
@@ -356,7 +356,7 @@
             named.collect()
         };
         let members = members.iter().map(|(name, lives)| (name.as_str(), *lives));
-        self.sharers.lock().look(members, now);
+        self.sharers.lock().observe(members, now);
     }
 
     /// Instances that live, this one included.
@@ -381,14 +381,14 @@
 
     /// Counts a first send to a service.
     pub(crate) fn count_first_send(&self, service: &str) {
-        self.with_budget(service, RetryBudget::first_try);
+        self.with_budget(service, RetryBudget::record_first_attempt);
     }
 
     /// Takes a repeat from the budget of a service.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         // Who does not know the members does not know its part.
         let knows_members = !self.store.knows_nothing(Subject::Members);
-        let taken = knows_members && self.with_budget(service, RetryBudget::take_retry);
+        let taken = knows_members && self.with_budget(service, RetryBudget::try_spend);
         metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
         taken
     }
@@ -404,33 +404,42 @@
             };
             (allowance, routing.retry_window())
         };
-        let part = allowance.budget_of_one(instances);
+        let part = allowance.instance_budget(instances);
         let is_young = self.now().saturating_sub(self.started_at) < window;
         let mut retries = self.retries.lock();
         let repeats = retries.entry(service.to_owned());
         let repeats = repeats.or_insert_with(|| ServiceRepeats {
-            budget: part.emptied(),
+            budget: part.without_slack(),
             is_filled: false,
         });
-        repeats.budget.keep_to(part);
+        repeats.budget.adjust_to(part);
         if !repeats.is_filled && !is_young {
-            repeats.budget.fill();
+            repeats.budget.fill_up();
             repeats.is_filled = true;
         }
         change(&mut repeats.budget)
     }
 
     /// How fast a service answers, as far as is known.
-    pub(crate) fn pace(&self, service: &str, before_any: Pace) -> Pace {
+    pub(crate) fn pace(
+        &self,
+        service: &str,
+        before_any: ResponseTimeEstimate,
+    ) -> ResponseTimeEstimate {
         let paces = self.paces.lock();
         paces.get(service).copied().unwrap_or(before_any)
     }
 
     /// A service answered within this time.
-    pub(crate) fn note_pace(&self, service: &str, before_any: Pace, took: Duration) {
+    pub(crate) fn note_pace(
+        &self,
+        service: &str,
+        before_any: ResponseTimeEstimate,
+        took: Duration,
+    ) {
         let mut paces = self.paces.lock();
         let pace = paces.entry(service.to_owned()).or_insert(before_any);
-        pace.took(took);
+        pace.record(took);
     }
 
     /// What this instance says about itself.
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -12,11 +12,11 @@
 
 use super::node::{Gateway, Stage};
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::engine_ledger::EngineSummary;
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::membership::PeerStatus;
-use crate::kernel::suspects::Verdict;
 
 /// Adds the operators' routes.
 pub(crate) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
@@ -83,9 +83,9 @@
         let health = gateway.health.lock();
         let rests = gateway.words.rests.lock();
         let dumped = fleet.into_iter().map(|(entry, standing)| {
-            let failures_share = health.failures(&entry.id, now);
+            let failures_share = health.failure_rate(&entry.id, now);
             let calls_in_flight = health.in_flight(&entry.id);
-            let rests_until = rests.until(&entry.id, now).unwrap_or_default();
+            let rests_until = rests.ends_at(&entry.id, now).unwrap_or_default();
             let limit_per_s = gateway.words.permits.limit_per_s(&entry.id);
             let id = entry.id.clone();
             let dump = EndpointDump {
@@ -128,7 +128,7 @@
 /// A content that endpoints ended under.
 #[derive(Serialize)]
 struct SuspectDump {
-    content: ContentId,
+    content: RequestFingerprint,
     verdict: Verdict,
     /// Whether an endpoint has finished it.
     innocent: bool,
@@ -141,12 +141,12 @@
 fn suspects(gateway: &State<Arc<Gateway>>) -> Json<Vec<SuspectDump>> {
     let now = gateway.now();
     let suspects = gateway.suspects.lock();
-    let dumped = suspects.all(now).map(|told| SuspectDump {
-        content: told.content,
-        verdict: suspects.verdict(told.content, now),
+    let dumped = suspects.reports(now).map(|told| SuspectDump {
+        content: told.fingerprint,
+        verdict: suspects.verdict(told.fingerprint, now),
         innocent: told.innocent,
-        ends: told.ends.len(),
-        last_end_ms_ago: millis(told.last_end_ago),
+        ends: told.crashes.len(),
+        last_end_ms_ago: millis(told.last_crash_age),
     });
     Json(dumped.collect())
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -13,8 +13,8 @@
 use super::{catch_up, coordinator, heartbeat, moves};
 use crate::kernel::clock::millis;
 use crate::kernel::engine_ledger::ReportedRun;
-use crate::kernel::limit::LimitNews;
-use crate::kernel::permits::Answer;
+use crate::kernel::limit::LimitUpdate;
+use crate::kernel::permits::PermitDecision;
 use crate::peer::convert::{self, BadField};
 use crate::peer::generated as wire;
 use crate::peer::generated::site_server::Site;
@@ -137,16 +137,16 @@
     ) -> Result<Response<wire::PermitReply>, Status> {
         self.gateway.tally.count(Work::Permit);
         let request = request.into_inner();
-        let told = LimitNews {
+        let told = LimitUpdate {
             endpoint: request.endpoint,
             per_s: Some(request.limit_per_s),
-            ago: ms(request.named_ms_ago),
+            age: ms(request.named_ms_ago),
         };
         let gateway = &self.gateway;
         let answer = gateway.give_permit(&request.service, &told, &request.asker);
         let not_before = match answer {
-            Answer::Granted => None,
-            Answer::NotBefore(until) => Some(until.saturating_sub(gateway.now())),
+            PermitDecision::Granted => None,
+            PermitDecision::NotBefore(until) => Some(until.saturating_sub(gateway.now())),
         };
         Ok(Response::new(wire::PermitReply {
             granted: not_before.is_none(),
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -14,8 +14,10 @@
 use super::ownership::{acts_as_owner, owner_address, owner_to_ask};
 use super::site_store::Subject;
 use crate::kernel::clock::{Clock, millis};
-use crate::kernel::limit::{LimitChange, LimitNews, LimitWord, Limits};
-use crate::kernel::permits::{Answer, AskedPermits, LimitShare, PERMIT_LASTS, Permits, SumShare};
+use crate::kernel::limit::{EndpointLimits, LimitChange, LimitSignal, LimitUpdate};
+use crate::kernel::permits::{
+    IssuerShare, LimitShare, PERMIT_VALID_FOR, PermitDecision, PermitIssuer, RequestedPermits,
+};
 use crate::peer::client::within;
 use crate::peer::generated as wire;
 use crate::settings::ms;
@@ -32,11 +34,11 @@
 pub(crate) struct PermitDesk {
     clock: Arc<dyn Clock>,
     /// What endpoints take from all instances together.
-    limits: Mutex<Limits>,
+    limits: Mutex<EndpointLimits>,
     /// What is given here for plain endpoints; the ledgers give for engines.
-    given: Mutex<Permits>,
+    given: Mutex<PermitIssuer>,
     /// What was asked for here.
-    asked: Mutex<AskedPermits>,
+    asked: Mutex<RequestedPermits>,
 }
 
 /// Lets one request leave for an endpoint that names a limit, until it is void. One that is not used is kept for the next request.
@@ -51,7 +53,7 @@
     fn drop(&mut self) {
         let now = self.desk.clock.now();
         if let Some(void_at) = self.void_at.filter(|void_at| now < *void_at) {
-            self.desk.asked.lock().keep(&self.endpoint, void_at);
+            self.desk.asked.lock().keep_unused(&self.endpoint, void_at);
         }
     }
 }
@@ -67,16 +69,19 @@
     }
 
     /// Takes what an answer says to a request that was sent then; gives whether members are to hear of it.
-    pub(super) fn take_word(&self, endpoint: &str, word: LimitWord, sent_at: Duration) -> bool {
+    pub(super) fn take_word(&self, endpoint: &str, word: LimitSignal, sent_at: Duration) -> bool {
         let now = self.clock.now();
-        let change = self.limits.lock().take(endpoint, word, sent_at, now);
+        let change = self
+            .limits
+            .lock()
+            .record_signal(endpoint, word, sent_at, now);
         self.tell(endpoint, change, "answer")
     }
 
     /// Takes what a member tells; gives whether other members are to hear of it.
-    pub(super) fn take_news(&self, news: &LimitNews) -> bool {
+    pub(super) fn take_news(&self, news: &LimitUpdate) -> bool {
         let now = self.clock.now();
-        let change = self.limits.lock().take_news(news, now);
+        let change = self.limits.lock().apply_update(news, now);
         self.tell(&news.endpoint, change, "member")
     }
 
@@ -99,8 +104,8 @@
     }
 
     /// Limits that began or ended of late.
-    pub(super) fn news(&self, first: usize) -> Vec<LimitNews> {
-        self.limits.lock().news(first, self.clock.now())
+    pub(super) fn news(&self, first: usize) -> Vec<LimitUpdate> {
+        self.limits.lock().recent_updates(first, self.clock.now())
     }
 
     /// Requests a second that an endpoint takes from all instances together; nothing where it names no limit.
@@ -115,7 +120,7 @@
 
     /// Requests a second, by start of endpoint that names a limit.
     pub(super) fn limits(&self) -> BTreeMap<String, f64> {
-        self.limits.lock().all().collect()
+        self.limits.lock().announced().collect()
     }
 
     /// Rises with every change of a limit.
@@ -126,7 +131,7 @@
     /// Until when no permit is to be had for an endpoint; nothing where one may be, or none is needed.
     pub(super) fn none_before(&self, endpoint: &str) -> Option<Duration> {
         let now = self.clock.now();
-        let until = self.asked.lock().none_before(endpoint, now)?;
+        let until = self.asked.lock().denied_until(endpoint, now)?;
         self.limit_per_s(endpoint).map(|_| until)
     }
 
@@ -134,7 +139,10 @@
     pub(super) fn closed(&self) -> Vec<String> {
         let now = self.clock.now();
         let asked = self.asked.lock();
-        let closed = asked.closed(now).map(str::to_owned).collect::<Vec<_>>();
+        let closed = asked
+            .denied_endpoints(now)
+            .map(str::to_owned)
+            .collect::<Vec<_>>();
         drop(asked);
         let limits = self.limits.lock();
         let still = |endpoint: &String| limits.per_s(endpoint).is_some();
@@ -163,10 +171,10 @@
     /// Forgets what is over.
     pub(super) fn tidy(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
-        self.limits.lock().tidy(is_known, now);
-        self.asked.lock().tidy(now);
+        self.limits.lock().prune(is_known, now);
+        self.asked.lock().prune(now);
         let limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
-        self.given.lock().tidy(limited);
+        self.given.lock().prune(limited);
     }
 }
 
@@ -175,7 +183,7 @@
     Permit {
         desk: desk.clone(),
         endpoint: endpoint.to_owned(),
-        void_at: granted_at.map(|at| at + PERMIT_LASTS),
+        void_at: granted_at.map(|at| at + PERMIT_VALID_FOR),
     }
 }
 
@@ -189,11 +197,11 @@
     pub(super) async fn permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
         let desk = &self.words.permits;
         let asked_at = self.now();
-        let told = desk.limits.lock().told(endpoint, asked_at);
+        let told = desk.limits.lock().update_for(endpoint, asked_at);
         let Some(told) = told else {
             return Some(permit(desk, endpoint, None));
         };
-        let kept = desk.asked.lock().take_kept(endpoint, asked_at);
+        let kept = desk.asked.lock().take_unused(endpoint, asked_at);
         if let Some(void_at) = kept {
             let mut kept = permit(desk, endpoint, None);
             kept.void_at = Some(void_at);
@@ -204,14 +212,14 @@
         }
         // On the heap: it is rare, and each call in flight would hold room for it.
         let answer = Box::pin(self.ask_for_permit(service, told)).await;
-        let granted = answer == Answer::Granted;
+        let granted = answer == PermitDecision::Granted;
         metrics::counter!("larkwick_permits_asked_total", "granted" => granted.to_string())
             .increment(1);
         match answer {
-            Answer::Granted => Some(permit(desk, endpoint, Some(asked_at))),
-            Answer::NotBefore(until) => {
+            PermitDecision::Granted => Some(permit(desk, endpoint, Some(asked_at))),
+            PermitDecision::NotBefore(until) => {
                 let now = self.now();
-                desk.asked.lock().refused(endpoint, until, now);
+                desk.asked.lock().record_denial(endpoint, until, now);
                 None
             }
         }
@@ -235,7 +243,7 @@
     }
 
     /// Asks the giver for a permit. The time in an answer is on this instance's clock.
-    async fn ask_for_permit(&self, service: &str, told: LimitNews) -> Answer {
+    async fn ask_for_permit(&self, service: &str, told: LimitUpdate) -> PermitDecision {
         let own_name = &self.incarnation.name;
         let Some(address) = owner_to_ask(self, &self.giver_key(service, &told.endpoint)) else {
             return self.give_permit(service, &told, own_name);
@@ -245,28 +253,35 @@
             endpoint: told.endpoint.clone(),
             asker: own_name.clone(),
             limit_per_s: told.per_s.unwrap_or_default(),
-            named_ms_ago: millis(told.ago),
+            named_ms_ago: millis(told.age),
         };
         let called = match self.peers.site_at(&address) {
             Ok(mut client) => within(ASK_TIMEOUT, client.permit(request)).await,
             Err(status) => Err(status),
         };
         match called {
-            Ok(reply) if reply.granted => Answer::Granted,
-            Ok(reply) => Answer::NotBefore(self.now().saturating_add(ms(reply.not_before_ms))),
+            Ok(reply) if reply.granted => PermitDecision::Granted,
+            Ok(reply) => {
+                PermitDecision::NotBefore(self.now().saturating_add(ms(reply.not_before_ms)))
+            }
             Err(status) => {
                 if crate::log::admits("no answer for a permit") {
                     warn!("no answer for a permit", kv: {
                         endpoint = told.endpoint.as_str(), giver = address.as_str(), why = status.message(),
                     });
                 }
-                Answer::NotBefore(self.now() + ASK_AGAIN)
+                PermitDecision::NotBefore(self.now() + ASK_AGAIN)
             }
         }
     }
 
     /// Gives a permit to an instance that tells what it knows of the limit.
-    pub(super) fn give_permit(&self, service: &str, told: &LimitNews, asker: &str) -> Answer {
+    pub(super) fn give_permit(
+        &self,
+        service: &str,
+        told: &LimitUpdate,
+        asker: &str,
+    ) -> PermitDecision {
         let desk = &self.words.permits;
         if desk.take_news(told) {
             self.words.tell_limits();
@@ -275,11 +290,11 @@
         let now = self.now();
         let Some(per_s) = desk.limit_per_s(endpoint) else {
             // Its end is known here, and on its way to the asker.
-            return Answer::Granted;
+            return PermitDecision::Granted;
         };
         let key = self.giver_key(service, endpoint);
         if !acts_as_owner(self, &key) {
-            return Answer::NotBefore(now + ASK_AGAIN);
+            return PermitDecision::NotBefore(now + ASK_AGAIN);
         }
         let limit = LimitShare {
             per_s,
@@ -292,11 +307,11 @@
                 .ledger
                 .request_permit(endpoint, asker, limit, now);
         }
-        desk.given.lock().ask(endpoint, asker, limit, now)
+        desk.given.lock().request(endpoint, asker, limit, now)
     }
 
     /// What of a bound on all instances this one may use, as the giver for a key, or alone.
-    pub(super) fn sum_share(&self, key: &str) -> SumShare {
+    pub(super) fn sum_share(&self, key: &str) -> IssuerShare {
         let of = self.instances_sharing();
         let lending = if self.store.knows_nothing(Subject::Members) {
             0
@@ -305,7 +320,10 @@
         } else {
             1
         };
-        SumShare { lending, of }
+        IssuerShare {
+            reachable: lending,
+            total: of,
+        }
     }
 
     fn has_engines(&self, service: &str) -> bool {
@@ -329,10 +347,10 @@
         for limit in told {
             let endpoint = self.fleet.lock().id_by_short_name(limit.endpoint);
             let Some(endpoint) = endpoint else { continue };
-            let news = LimitNews {
+            let news = LimitUpdate {
                 endpoint,
                 per_s: (!limit.ended).then_some(limit.per_s),
-                ago: ms(limit.ms_ago),
+                age: ms(limit.ms_ago),
             };
             is_news |= self.words.permits.take_news(&news);
         }
@@ -345,10 +363,10 @@
     pub(crate) fn limit_news(&self, first: usize) -> Vec<wire::EndpointLimit> {
         let news = self.words.permits.news(first).into_iter();
         let told = news.map(|news| wire::EndpointLimit {
-            endpoint: crate::kernel::suspects::short_hash(&news.endpoint),
+            endpoint: crate::kernel::crash_suspects::short_hash(&news.endpoint),
             per_s: news.per_s.unwrap_or_default(),
             ended: news.per_s.is_none(),
-            ms_ago: millis(news.ago),
+            ms_ago: millis(news.age),
         });
         told.collect()
     }
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -22,11 +22,11 @@
 use super::upstream::{ConnectionReuse, EndpointResponse, SendError, ServiceIdleConnections};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
+use crate::kernel::cooldown::ServiceAvailability;
+use crate::kernel::crash_suspects::Verdict;
 use crate::kernel::fleet::EndpointEntry;
-use crate::kernel::pace::Pace;
-use crate::kernel::rest::Outlook;
+use crate::kernel::response_time::ResponseTimeEstimate;
 use crate::kernel::route::CallKind;
-use crate::kernel::suspects::Verdict;
 use crate::platform::{engine, ingress};
 
 /// Largest response body that is buffered before it is forwarded to the caller.
@@ -35,7 +35,7 @@
 const SENDS_MAX: u32 = 4;
 /// Response-time estimate of a service that has not responded yet. Plain services took 45 ms and
 /// varied by 20 ms.
-const INITIAL_RESPONSE_TIME: Pace = Pace::expecting(0.06, 0.03);
+const INITIAL_RESPONSE_TIME: ResponseTimeEstimate = ResponseTimeEstimate::initial(0.06, 0.03);
 /// A timed-out attempt counts as having taken this multiple of its timeout, so that the timeout
 /// grows when a service becomes slower.
 const TIMEOUT_SAMPLE_FACTOR: u32 = 2;
@@ -154,7 +154,7 @@
         drop(health);
         if matches!(attempt, Attempt::Misdirected) {
             let now = call.gateway.now();
-            call.gateway.health.lock().note_absent(&endpoint.id, now);
+            call.gateway.health.lock().record_absent(&endpoint.id, now);
         }
         match attempt {
             Attempt::Answered(answer) => {
@@ -230,12 +230,14 @@
             }
             continue;
         }
-        let typical = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).usual();
-        let wait_until = (call.arrived + call.route.goal).saturating_sub(typical);
+        let typical = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).typical();
+        let wait_until = (call.arrived + call.route.latency_objective).saturating_sub(typical);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
         match endpoint_cooldowns::cooldown_outlook(call, is_tried, wait_until) {
-            Outlook::Opens { at } => gateway.sleep_until(at).await,
-            Outlook::Open | Outlook::Closed { .. } => return None,
+            ServiceAvailability::AvailableAt { at } => gateway.sleep_until(at).await,
+            ServiceAvailability::Available | ServiceAvailability::Unavailable { .. } => {
+                return None;
+            }
         }
     }
 }
@@ -243,7 +245,7 @@
 fn may_retry(call: &Call, attempts: &Attempts) -> bool {
     attempts.may_have_run < call.route.attempts_max
         && attempts.sends < SENDS_MAX
-        && call.age() < call.route.goal
+        && call.age() < call.route.latency_objective
 }
 
 /// Returns the error that covers all attempts, including whether the request may have run.
@@ -294,7 +296,7 @@
 impl<'a> HealthGuard<'a> {
     fn begin(gateway: &'a Gateway, endpoint: &'a EndpointEntry) -> Self {
         let began_at = gateway.now();
-        gateway.health.lock().begin(&endpoint.id, began_at);
+        gateway.health.lock().record_start(&endpoint.id, began_at);
         Self {
             gateway,
             endpoint,
@@ -308,7 +310,7 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut health = self.gateway.health.lock();
-        health.end(&self.endpoint.id, self.began_at, self.failed, now);
+        health.record_end(&self.endpoint.id, self.began_at, self.failed, now);
     }
 }
 
@@ -377,7 +379,8 @@
     let timeout = attempt_timeout(call, attempts);
     let may_give_up = timeout < call.time_left();
     let idle_connections = connection.service_idle_connections();
-    let overdue_after = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).late() * OVERDUE_FACTOR;
+    let overdue_after =
+        gateway.pace(&call.service, INITIAL_RESPONSE_TIME).overdue() * OVERDUE_FACTOR;
     let response = Box::pin(async {
         let response = connection.send(request, permit).await?;
         read_response(gateway, &call.head.request_id, response).await
@@ -455,7 +458,7 @@
         && endpoint_cooldowns::has_untried_endpoint(call, &attempts.tried);
     if can_retry {
         let pace = call.gateway.pace(&call.service, INITIAL_RESPONSE_TIME);
-        time_left.min(pace.patience(call.route.goal.saturating_sub(call.age())))
+        time_left.min(pace.timeout(call.route.latency_objective.saturating_sub(call.age())))
     } else {
         time_left
     }
--- a/src/gateway/site_store.rs
+++ b/src/gateway/site_store.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::kernel::clock::millis;
-use crate::kernel::content::ContentId;
+use crate::kernel::crash_suspects::SuspectReport;
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
+use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
 use crate::kernel::position::Position;
 use crate::kernel::roles::{self, default_link_mbps};
 use crate::kernel::route::RouteConfig;
-use crate::kernel::suspects::Told;
 
 /// A subject that is kept and followed on its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptSuspect {
     /// What was known of it.
-    told: Told,
+    told: SuspectReport,
     /// When, in milliseconds since 1970.
     at_unix_ms: u64,
 }
@@ -79,7 +79,7 @@
 impl KeptSuspect {
     /// What is known of a content at this time of day.
     #[must_use]
-    pub fn new(told: Told, unix_time: Duration) -> Self {
+    pub fn new(told: SuspectReport, unix_time: Duration) -> Self {
         Self {
             told,
             at_unix_ms: millis(unix_time),
@@ -88,16 +88,16 @@
 
     /// The content.
     #[must_use]
-    pub fn content(&self) -> ContentId {
-        self.told.content
+    pub fn content(&self) -> RequestFingerprint {
+        self.told.fingerprint
     }
 
     /// The same, as it is told at this time of day.
     #[must_use]
-    pub fn told(&self, unix_time: Duration) -> Told {
+    pub fn told(&self, unix_time: Duration) -> SuspectReport {
         let kept_for = unix_time.saturating_sub(Duration::from_millis(self.at_unix_ms));
-        Told {
-            last_end_ago: self.told.last_end_ago.saturating_add(kept_for),
+        SuspectReport {
+            last_crash_age: self.told.last_crash_age.saturating_add(kept_for),
             ..self.told.clone()
         }
     }
@@ -121,7 +121,7 @@
     /// A content that endpoints ended under.
     Suspect(KeptSuspect),
     /// A content is kept no more.
-    SuspectGone(ContentId),
+    SuspectGone(RequestFingerprint),
     /// A record that cannot be read.
     Unreadable {
         /// Its key.
@@ -182,7 +182,7 @@
     /// Keeps a content that endpoints ended under, in place of what was kept of it.
     async fn keep_suspect(&self, suspect: &KeptSuspect) -> StoreResult<()>;
     /// Drops what is kept of a content.
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()>;
+    async fn drop_suspect(&self, content: RequestFingerprint) -> StoreResult<()>;
 }
 
 /// A registered way to reach a store.
--- a/src/kernel/endpoint_signals.rs
+++ b/src/kernel/endpoint_signals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::limit::LimitWord;
+use super::limit::LimitSignal;
 
 /// Signals sent by one incarnation of an endpoint. They apply to that incarnation regardless of
 /// which request was sent and by whom.
@@ -13,5 +13,5 @@
     /// Cooldown during which the instance whose request it refused should send it nothing.
     pub cooldown: Option<Duration>,
     /// Rate limit for all instances together, in force as long as the endpoint keeps sending it.
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
 }
--- a/src/kernel/engine_ledger.rs
+++ b/src/kernel/engine_ledger.rs
@@ -13,7 +13,7 @@
 
 use super::cold_start::ColdRateLimiter;
 use super::membership::rendezvous_share;
-use super::permits::{Answer, LimitShare, Permits};
+use super::permits::{LimitShare, PermitDecision, PermitIssuer};
 
 pub use super::engine_run::{
     ColdLimit, ListedEngine, MoveOrder, MoveResult, ReportedRun, RunDemand,
@@ -132,7 +132,7 @@
     /// Requests recently sent to cold engines.
     pub(super) cold_rate_limiter: ColdRateLimiter,
     /// Permits granted for engines that announce a rate limit.
-    permits: Permits,
+    permits: PermitIssuer,
     /// Engines in cooldown for any entry instance: the union of all `cooling_down` sets.
     cooling_down_engines: BTreeSet<String>,
 }
@@ -302,7 +302,7 @@
                 .can_send(&engine.id, cold.share_per_s, now)
         });
         let has_permit = engine.limit.is_none_or(|limit| {
-            let next_at = self.permits.next_at(&engine.id, entry, limit, now);
+            let next_at = self.permits.available_at(&engine.id, entry, limit, now);
             next_at <= now
         });
         is_within_cold_limit && has_permit
@@ -318,7 +318,9 @@
             self.cold_rate_limiter.record_sent(engine, now);
         }
         let limit = listed.limit;
-        limit.is_some_and(|limit| self.request_permit(engine, entry, limit, now) == Answer::Granted)
+        limit.is_some_and(|limit| {
+            self.request_permit(engine, entry, limit, now) == PermitDecision::Granted
+        })
     }
 
     /// Requests a permit for an entry instance to send a request to a rate-limited engine, outside
@@ -329,8 +331,8 @@
         entry: &str,
         limit: LimitShare,
         now: Duration,
-    ) -> Answer {
-        self.permits.ask(engine, entry, limit, now)
+    ) -> PermitDecision {
+        self.permits.request(engine, entry, limit, now)
     }
 
     /// Returns whether placements on an engine are counted against a rate limit that it announced.
@@ -348,9 +350,9 @@
         let limited = engines.filter_map(|engine| engine.listed.as_ref());
         let limited = limited.filter(|listed| listed.limit.is_some());
         let limited: BTreeSet<&str> = limited.map(|listed| listed.id.as_str()).collect();
-        self.permits.tidy(|engine| limited.contains(engine));
+        self.permits.prune(|engine| limited.contains(engine));
         for engine in limited {
-            self.permits.begin(engine, now);
+            self.permits.start_accrual(engine, now);
         }
     }
 
--- a/src/kernel/store_sources.rs
+++ b/src/kernel/store_sources.rs
@@ -151,7 +151,7 @@
             paused_until: now,
             backoff: Backoff::new(first, max),
         });
-        failed.paused_until = now + failed.backoff.failed(jitter);
+        failed.paused_until = now + failed.backoff.next_pause(jitter);
     }
 
     /// Records that a source answered, which ends its back-off.
--- a/tests/kernel.rs
+++ b/tests/kernel.rs
@@ -6,6 +6,10 @@
 mod cold_start;
 #[path = "kernel/config.rs"]
 mod config;
+#[path = "kernel/cooldown.rs"]
+mod cooldown;
+#[path = "kernel/crash_suspects.rs"]
+mod crash_suspects;
 #[path = "kernel/engine_ledger.rs"]
 mod engine_ledger;
 #[path = "kernel/evacuation.rs"]
@@ -20,6 +24,8 @@
 mod group;
 #[path = "kernel/hall.rs"]
 mod hall;
+#[path = "kernel/instance_count.rs"]
+mod instance_count;
 #[path = "kernel/length_estimates.rs"]
 mod length_estimates;
 #[path = "kernel/limit.rs"]
@@ -32,25 +38,19 @@
 mod membership;
 #[path = "kernel/owner_contact.rs"]
 mod owner_contact;
-#[path = "kernel/pace.rs"]
-mod pace;
 #[path = "kernel/parsers.rs"]
 mod parsers;
 #[path = "kernel/permits.rs"]
 mod permits;
 #[path = "kernel/placement.rs"]
 mod placement;
-#[path = "kernel/rest.rs"]
-mod rest;
+#[path = "kernel/response_time.rs"]
+mod response_time;
 #[path = "kernel/retry.rs"]
 mod retry;
 #[path = "kernel/routes.rs"]
 mod routes;
-#[path = "kernel/sharers.rs"]
-mod sharers;
 #[path = "kernel/store_contact.rs"]
 mod store_contact;
 #[path = "kernel/store_sources.rs"]
 mod store_sources;
-#[path = "kernel/suspects.rs"]
-mod suspects;
--- a/tests/kernel/engine_ledger.rs
+++ b/tests/kernel/engine_ledger.rs
@@ -6,7 +6,7 @@
 use larkwick::kernel::engine_ledger::{
     EngineLedger, ListedEngine, MoveResult, ReportedRun, RunDemand,
 };
-use larkwick::kernel::permits::{LimitShare, SumShare};
+use larkwick::kernel::permits::{IssuerShare, LimitShare};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -360,7 +360,10 @@
 fn place_rate_limited_engine_granted_within_its_limit() {
     let limit = LimitShare {
         per_s: 2.0,
-        share: SumShare { lending: 2, of: 2 },
+        share: IssuerShare {
+            reachable: 2,
+            total: 2,
+        },
     };
     let mut limited = engine("limited", "h", false);
     limited.limit = Some(limit);
@@ -387,7 +390,10 @@
 /// subject to the engines' rate limits.
 #[test]
 fn plan_moves_respects_limits_of_source_and_target() {
-    let share = SumShare { lending: 1, of: 1 };
+    let share = IssuerShare {
+        reachable: 1,
+        total: 1,
+    };
     let limit = |per_s| Some(LimitShare { per_s, share });
     let mut source = engine("source", "h", true);
     source.limit = limit(0.0);
--- a/tests/kernel/gateway_decisions.rs
+++ b/tests/kernel/gateway_decisions.rs
@@ -156,14 +156,14 @@
     #[test]
     fn budget_of_one_all_instances_together_within_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
         let allowance = RetryAllowance { share: 0.2, slack: 58.0 };
-        let mut budgets = [allowance.budget_of_one(9); 9];
+        let mut budgets = [allowance.instance_budget(9); 9];
         let (mut requests, mut retries) = (0_u32, 0_u32);
         for (instance, is_retry) in steps {
             if is_retry {
-                retries += u32::from(budgets[instance].take_retry());
+                retries += u32::from(budgets[instance].try_spend());
             } else {
                 requests += 1;
-                budgets[instance].first_try();
+                budgets[instance].record_first_attempt();
             }
             prop_assert!(f64::from(retries) <= 0.2 * f64::from(requests) + 58.0);
         }
@@ -202,10 +202,10 @@
     let mut health = EndpointHealth::default();
     let now = Duration::from_secs(10);
     for _ in 0..8 {
-        health.begin("failing", now);
-        health.end("failing", now, Some(true), now);
-        health.begin("healthy", now);
-        health.end("healthy", now, Some(false), now);
+        health.record_start("failing", now);
+        health.record_end("failing", now, Some(true), now);
+        health.record_start("healthy", now);
+        health.record_end("healthy", now, Some(false), now);
     }
     let weight = |name, at| health.weight(name, 6, LATE_AFTER, at);
     assert!(weight("failing", now) * 100.0 < weight("healthy", now));
@@ -217,7 +217,7 @@
 fn weight_reduced_by_calls_in_flight() {
     let mut health = EndpointHealth::default();
     for _ in 0..6 {
-        health.begin("busy", Duration::ZERO);
+        health.record_start("busy", Duration::ZERO);
     }
     let weight = |name| health.weight(name, 6, LATE_AFTER, Duration::ZERO);
     assert!(weight("busy") * 2.0 < weight("idle"));
@@ -228,15 +228,15 @@
 #[test]
 fn weight_reduced_by_late_call_before_it_fails() {
     let mut health = EndpointHealth::default();
-    health.begin("hanging", Duration::ZERO);
-    health.begin("fast", Duration::ZERO);
-    health.end(
+    health.record_start("hanging", Duration::ZERO);
+    health.record_start("fast", Duration::ZERO);
+    health.record_end(
         "fast",
         Duration::ZERO,
         Some(false),
         Duration::from_millis(40),
     );
-    health.begin("fast", Duration::from_millis(400));
+    health.record_start("fast", Duration::from_millis(400));
     let weight = |name, ms| health.weight(name, 6, LATE_AFTER, Duration::from_millis(ms));
     assert!((weight("hanging", 100) - weight("fast", 100)).abs() < 1e-9);
     assert!(weight("hanging", 401) * 5.0 < weight("fast", 401));
