--- a/src/gateway/aborted_requests.rs
+++ b/src/gateway/aborted_requests.rs
@@ -140,8 +140,8 @@
             .and_then(|table| table.service(service)?.engine)
             .is_some();
         if has_engines {
-            gateway.runs.note_not_taken(service, id, true);
-            gateway.ledgers.changed.notify_one();
+            gateway.runs.record_unavailable_engine(service, id, true);
+            gateway.ledgers.runs_changed.notify_one();
         } else {
             gateway.health.lock().note_absent(id, gateway.now());
         }
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -1,7 +1,9 @@
-//! The owner of a service's engines, and how entries reach it.
+//! Placement and moves of generations by the owner of a service's engines, and how instances reach
+//! the owner.
 //!
-//! The owner is the live member with the highest weighted hash for the service. Two members that both believe to be owner do no harm: engines
-//! refuse what does not fit, and a move carries the name of the engine that it leaves.
+//! The owner is the live member with the highest weighted rendezvous hash for the service. Two
+//! members that both consider themselves owner do no harm: engines refuse what does not fit, and a
+//! move names the engine that it leaves.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,11 +13,11 @@
 use spdlog::{info, warn};
 use tokio::sync::oneshot;
 
-use super::ledgers::{EnginesOf, ServiceShard, Waiter};
+use super::ledgers::{EngineListKey, ServiceShard, Waiter};
 use super::moves;
 use super::node::Gateway;
-use super::ownership::{acts_as_owner, note_owner, owner_address, owner_to_ask};
-use super::runs::NotTaken;
+use super::ownership::{acts_as_owner, owner_address, reachable_owner_address, record_owner_call};
+use super::runs::UnavailableEngines;
 use crate::kernel::admission_queue::{Admission, AdmissionRequest};
 use crate::kernel::clock::millis;
 use crate::kernel::cold_start::Sender;
@@ -29,19 +31,21 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-/// How often a ledger with waiting or leaving generations is looked through.
-const BUSY_TICK: Duration = Duration::from_millis(20);
-/// How often a quiet one is by its owner.
-const QUIET_TICK: Duration = Duration::from_millis(100);
-/// How often one is that belongs to another instance, and is kept only for when that one cannot be reached.
-const SPARE_TICK: Duration = Duration::from_secs(1);
-/// On top of the wait that was asked for, an answer of the owner may take this long.
-const PLACE_MARGIN: Duration = Duration::from_millis(150);
-/// Longest time for a copy of memory; a whole memory takes half of it.
+/// Interval at which a ledger is processed while generations wait or run on leaving engines.
+const BUSY_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the owner processes any other ledger.
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval for a ledger that another instance owns; this instance keeps it as a fallback for when
+/// the owner is unreachable.
+const STANDBY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time allowed for the owner's response, beyond the requested wait.
+const PLACEMENT_REPLY_MARGIN: Duration = Duration::from_millis(150);
+/// Longest time for copying a generation's memory; a copy of all of it takes half of this time.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Engines that this instance owns and that run generations and are not known to leave.
-pub(crate) fn engines_to_ask(gateway: &Gateway) -> Vec<EndpointEntry> {
+/// Returns the engines that this instance owns, that run generations, and that are not known to be
+/// leaving.
+pub(crate) fn owned_running_engines(gateway: &Gateway) -> Vec<EndpointEntry> {
     let mut running = BTreeSet::new();
     for (service, shard) in gateway.ledgers.all() {
         if acts_as_owner(gateway, &service) {
@@ -53,36 +57,37 @@
     running.filter_map(|id| fleet.get(id).cloned()).collect()
 }
 
-/// A place for a generation.
-pub(crate) struct Placed {
-    /// The engine.
+/// A granted placement of a generation.
+pub(crate) struct Placement {
     pub(crate) engine: String,
-    /// When it was counted against the limit that the engine names, at the earliest; nothing where whoever placed knew of none.
+    /// Earliest time at which the placement was counted against the rate limit that the engine
+    /// announces; `None` if the placing instance knew of no limit.
     pub(crate) counted_at: Option<Duration>,
 }
 
-/// Finds an engine for a generation, by the owner; where the owner cannot be reached, by what this instance knows itself.
+/// Finds an engine for a generation through the owner, or from this instance's own ledger if the
+/// owner is unreachable.
 pub(crate) async fn place(
     gateway: &Arc<Gateway>,
     service: &str,
     demand: &RunDemand,
     excluded: &[String],
     wait: Duration,
-) -> Option<Placed> {
+) -> Option<Placement> {
     let own_name = gateway.incarnation.name.clone();
-    let Some(address) = owner_to_ask(gateway, service) else {
-        return place_here(gateway, service, demand, &own_name, excluded, wait).await;
+    let Some(address) = reachable_owner_address(gateway, service) else {
+        return place_locally(gateway, service, demand, &own_name, excluded, wait).await;
     };
-    match place_at(gateway, &address, service, demand, excluded, wait).await {
+    match place_by_owner(gateway, &address, service, demand, excluded, wait).await {
         Ok(granted) => granted,
         Err(status) => {
-            note_owner(gateway, service, false);
-            if crate::log::admits("owner not reached") {
-                warn!("owner not reached; placing alone", kv: {
+            record_owner_call(gateway, service, false);
+            if crate::log::admits("owner unreachable") {
+                warn!("owner unreachable; placing from the local ledger", kv: {
                     request_id = demand.run.as_str(), service, owner = address.as_str(), why = status.message(),
                 });
             }
-            place_here(
+            place_locally(
                 gateway,
                 service,
                 demand,
@@ -95,14 +100,14 @@
     }
 }
 
-async fn place_at(
+async fn place_by_owner(
     gateway: &Gateway,
     address: &str,
     service: &str,
     demand: &RunDemand,
     excluded: &[String],
     wait: Duration,
-) -> Result<Option<Placed>, tonic::Status> {
+) -> Result<Option<Placement>, tonic::Status> {
     let mut client = gateway.peers.site_at(address)?;
     let request = wire::PlaceRequest {
         service: service.to_owned(),
@@ -111,23 +116,24 @@
         wait_ms: millis(wait),
         excluded: excluded.to_vec(),
     };
-    let asked_at = gateway.now();
-    let reply = within(wait + PLACE_MARGIN, client.place(request)).await?;
-    // On this instance's clock no later than it was: an instance that stood still meanwhile finds it old.
-    let counted_at = asked_at + ms(reply.waited_ms);
+    let requested_at = gateway.now();
+    let reply = within(wait + PLACEMENT_REPLY_MARGIN, client.place(request)).await?;
+    // On this instance's clock, and no later than the actual time: if this instance was suspended
+    // meanwhile, it sees that the placement is old.
+    let counted_at = requested_at + ms(reply.waited_ms);
     let counted_at = reply.counted.then_some(counted_at);
-    Ok(convert::granted(reply).map(|engine| Placed { engine, counted_at }))
+    Ok(convert::granted(reply).map(|engine| Placement { engine, counted_at }))
 }
 
-/// Finds an engine by this instance's own ledger, waiting for room if need be.
-pub(crate) async fn place_here(
+/// Finds an engine from this instance's own ledger and waits for capacity if necessary.
+pub(crate) async fn place_locally(
     gateway: &Gateway,
     service: &str,
     demand: &RunDemand,
     entry: &str,
     excluded: &[String],
     wait: Duration,
-) -> Option<Placed> {
+) -> Option<Placement> {
     let shard = gateway.ledgers.shard(service);
     let now = gateway.now();
     let request = AdmissionRequest {
@@ -136,7 +142,7 @@
         excluded: excluded.to_vec(),
         deadline: now + wait,
     };
-    let waiting = {
+    let reply = {
         let mut shard = shard.lock();
         refresh_engines(gateway, service, &mut shard);
         let ServiceShard {
@@ -146,35 +152,38 @@
             ..
         } = &mut *shard;
         match queue.request_admission(ledger, request, now) {
-            Admission::Granted(engine) => return Some(placed(ledger, engine, now)),
+            Admission::Granted(engine) => return Some(placement(ledger, engine, now)),
             Admission::Refused => return None,
             Admission::Queued(ticket) => {
-                let (answer, waiting) = oneshot::channel();
+                let (reply_sender, reply) = oneshot::channel();
                 let run = demand.run.clone();
-                waiters.insert(ticket, Waiter { run, answer });
-                waiting
+                waiters.insert(ticket, Waiter { run, reply_sender });
+                reply
             }
         }
     };
-    gateway.ledgers.wake();
-    // The sender is dropped only with the instance.
-    let engine = waiting.await.ok().flatten()?;
+    gateway.ledgers.wake_coordinator();
+    // The sender is dropped only when the instance stops.
+    let engine = reply.await.ok().flatten()?;
     let shard = shard.lock();
-    Some(placed(&shard.ledger, engine, gateway.now()))
+    Some(placement(&shard.ledger, engine, gateway.now()))
 }
 
-fn placed(ledger: &EngineLedger, engine: String, now: Duration) -> Placed {
-    Placed {
+fn placement(ledger: &EngineLedger, engine: String, now: Duration) -> Placement {
+    Placement {
         counted_at: ledger.is_limited(&engine).then_some(now),
         engine,
     }
 }
 
-/// Takes the engines as they are listed now, where they changed since the last time.
+/// Updates the ledger's engines from the current endpoint list if it has changed since the last
+/// call.
 fn refresh_engines(gateway: &Gateway, service: &str, shard: &mut ServiceShard) {
     let Some(table) = gateway.table() else { return };
-    let shape = table.service(service).and_then(|service| service.engine);
-    let Some(shape) = shape else { return };
+    let engine_shape = table.service(service).and_then(|service| service.engine);
+    let Some(engine_shape) = engine_shape else {
+        return;
+    };
     let cold_start = table
         .service(service)
         .and_then(|service| service.cold_start);
@@ -184,30 +193,32 @@
     let limit_share = permits.names_any().then(|| gateway.sum_share(service));
     let entries = {
         let fleet = gateway.fleet.lock();
-        let engines_of = EnginesOf {
+        let engine_list_key = EngineListKey {
             config_version: table.version(),
             fleet_version: fleet.version(),
             sender,
             limits_version,
             limit_share,
         };
-        if shard.engines_of.replace(engines_of) == Some(engines_of) {
+        if shard.engine_list_key.replace(engine_list_key) == Some(engine_list_key) {
             return;
         }
         let limits = permits.limits();
         let all = fleet
             .all_endpoints()
             .filter(|(entry, _)| entry.service == service);
-        let entry = |(entry, standing): (&EndpointEntry, Availability)| ListedEngine {
+        let listed = |(entry, availability): (&EndpointEntry, Availability)| ListedEngine {
             id: entry.id.clone(),
             hall: entry.hall.clone(),
-            slots: shape.slots,
-            memory_tokens: shape.memory_tokens,
-            leaving: standing == Availability::Leaving,
-            // What runs in a hall that is emptied ends where it runs. Moved as off engines that leave, it crowds the other halls: 0.024 of worth
-            // (+-0.008) on a day on which two halls are emptied, 0.010 (+-0.005) on one with a loss of all, four paired seeds each.
+            slots: engine_shape.slots,
+            memory_tokens: engine_shape.memory_tokens,
+            leaving: availability == Availability::Leaving,
+            // Generations in an evacuated hall finish where they run. Moving them, as is done off
+            // leaving engines, overloads the other halls: it cost 0.024 of worth (+-0.008) on a day
+            // on which two halls are evacuated and 0.010 (+-0.005) on one with a loss of all
+            // instances, four paired seeds each.
             closed: !fleet.can_accept_work(&entry.id),
-            moves: shape.moves,
+            moves: engine_shape.moves,
             cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
                 share_per_s: cold_start.share_per_s(sender),
@@ -220,13 +231,14 @@
                     share,
                 }),
         };
-        all.map(entry).collect()
+        all.map(listed).collect()
     };
     shard.ledger.set_engines(entries);
     shard.ledger.sync_permits(gateway.now());
 }
 
-/// As whom this instance sends to the cold engines of a service. Who is cut off from the owner shares with all others that may be.
+/// Returns the role in which this instance sends to the cold engines of a service. An instance cut
+/// off from the owner shares the cold-start limit with all other instances that may be cut off too.
 fn cold_sender(gateway: &Gateway, service: &str) -> Sender {
     if owner_address(gateway, service).is_none() {
         Sender::Owner
@@ -237,85 +249,85 @@
     }
 }
 
-/// Takes a report of an entry.
-pub(crate) fn take_report(
+/// Applies a report of the runs of an entry instance.
+pub(crate) fn apply_run_report(
     gateway: &Gateway,
     service: &str,
     entry: &str,
     runs: Vec<ReportedRun>,
-    not_taken: &NotTaken,
+    unavailable: &UnavailableEngines,
 ) {
     let now = gateway.now();
     let shard = gateway.ledgers.shard(service);
     let mut shard = shard.lock();
-    for endpoint in &not_taken.refused {
+    for endpoint in &unavailable.refused {
         shard.ledger.record_refusal(endpoint, now);
     }
-    for endpoint in &not_taken.dead {
+    for endpoint in &unavailable.gone {
         shard.ledger.record_unreachable(endpoint, now);
     }
     shard.ledger.apply_report(entry, runs, now);
     shard
         .ledger
-        .set_cooling_down(entry, not_taken.resting.clone());
-    let wanted = !shard.waiters.is_empty() || shard.ledger.has_runs_on_leaving_engines();
+        .set_cooling_down(entry, unavailable.cooling_down.clone());
+    let has_pending_work = !shard.waiters.is_empty() || shard.ledger.has_runs_on_leaving_engines();
     drop(shard);
-    if wanted {
-        gateway.ledgers.wake();
+    if has_pending_work {
+        gateway.ledgers.wake_coordinator();
     }
 }
 
-/// Looks through the ledgers for the life of the instance: gives room to those that wait, and moves generations off engines that
-/// leave.
+/// Processes the ledgers until the instance stops: grants capacity to waiting generations and moves
+/// generations off leaving engines.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     loop {
         let ledgers = gateway.ledgers.all();
         let pauses = ledgers
             .iter()
-            .map(|(service, shard)| look_through(&gateway, service, shard));
-        let pause = pauses.min().unwrap_or(SPARE_TICK);
+            .map(|(service, shard)| process_ledger(&gateway, service, shard));
+        let pause = pauses.min().unwrap_or(STANDBY_INTERVAL);
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = gateway.ledgers.wanted.notified(), if pause > BUSY_TICK => {}
+            () = gateway.ledgers.coordinator_wakeup.notified(), if pause > BUSY_INTERVAL => {}
         }
     }
 }
 
-/// Looks through one ledger; tells when it should be looked through again.
-fn look_through(
+/// Processes one ledger and returns the time until it should be processed again.
+fn process_ledger(
     gateway: &Arc<Gateway>,
     service: &str,
     shard: &Arc<Mutex<ServiceShard>>,
 ) -> Duration {
     let now = gateway.now();
-    let owned = acts_as_owner(gateway, service);
-    let (orders, busy) = {
+    let is_owner = acts_as_owner(gateway, service);
+    let (orders, is_busy) = {
         let mut shard = shard.lock();
         refresh_engines(gateway, service, &mut shard);
         shard.ledger.expire(now);
-        settle_waiters(&mut shard, now);
-        let orders = if owned {
+        notify_waiters(&mut shard, now);
+        let orders = if is_owner {
             shard.ledger.plan_moves(now)
         } else {
             Vec::new()
         };
-        let busy =
-            !shard.waiters.is_empty() || (owned && shard.ledger.has_runs_on_leaving_engines());
-        (orders, busy)
+        let is_busy =
+            !shard.waiters.is_empty() || (is_owner && shard.ledger.has_runs_on_leaving_engines());
+        (orders, is_busy)
     };
     for order in orders {
-        tokio::spawn(carry_out(gateway.clone(), service.to_owned(), order));
+        tokio::spawn(execute_move(gateway.clone(), service.to_owned(), order));
     }
-    if busy {
-        BUSY_TICK
-    } else if owned {
-        QUIET_TICK
+    if is_busy {
+        BUSY_INTERVAL
+    } else if is_owner {
+        IDLE_INTERVAL
     } else {
-        SPARE_TICK
+        STANDBY_INTERVAL
     }
 }
 
-fn settle_waiters(shard: &mut ServiceShard, now: Duration) {
+fn notify_waiters(shard: &mut ServiceShard, now: Duration) {
     let ServiceShard {
         ledger,
         queue,
@@ -323,25 +335,25 @@
         ..
     } = shard;
     waiters.retain(|ticket, waiter| {
-        let has_gone = waiter.answer.is_closed();
-        if has_gone {
+        let is_abandoned = waiter.reply_sender.is_closed();
+        if is_abandoned {
             queue.cancel(*ticket);
         }
-        !has_gone
+        !is_abandoned
     });
-    for settled in queue.admit_waiting(ledger, now) {
-        let Some(waiter) = waiters.remove(&settled.ticket) else {
+    for outcome in queue.admit_waiting(ledger, now) {
+        let Some(waiter) = waiters.remove(&outcome.ticket) else {
             continue;
         };
-        if let Err(Some(_)) = waiter.answer.send(settled.granted) {
+        if let Err(Some(_)) = waiter.reply_sender.send(outcome.granted) {
             ledger.release(&waiter.run);
         }
     }
 }
 
-/// Has the entry of a generation move it.
-async fn carry_out(gateway: Arc<Gateway>, service: String, order: MoveOrder) {
-    let begun = gateway.now();
+/// Executes a planned move through the entry instance that serves the generation.
+async fn execute_move(gateway: Arc<Gateway>, service: String, order: MoveOrder) {
+    let started_at = gateway.now();
     let request = wire::MoveRunRequest {
         service: service.clone(),
         run: order.run.clone(),
@@ -352,10 +364,10 @@
     let (result, reason) = if order.entry == gateway.incarnation.name {
         moves::move_run(&gateway, &request).await
     } else {
-        move_at(&gateway, &order.entry, request).await
+        request_move(&gateway, &order.entry, request).await
     };
     let now = gateway.now();
-    let took_ms = millis(now.saturating_sub(begun));
+    let took_ms = millis(now.saturating_sub(started_at));
     if crate::log::admits("move ended") {
         info!("move ended", kv: {
             request_id = order.run.as_str(), source = order.source.as_str(), target = order.target.as_str(),
@@ -365,10 +377,10 @@
     metrics::counter!("larkwick_moves_total", "result" => format!("{result:?}")).increment(1);
     let shard = gateway.ledgers.shard(&service);
     shard.lock().ledger.record_move_result(&order, result, now);
-    gateway.ledgers.wake();
+    gateway.ledgers.wake_coordinator();
 }
 
-async fn move_at(
+async fn request_move(
     gateway: &Gateway,
     entry: &str,
     request: wire::MoveRunRequest,
@@ -383,11 +395,11 @@
         return (MoveResult::RunGone, "entry unknown".to_owned());
     };
     let client = gateway.peers.site_at(&address);
-    let called = match client {
+    let response = match client {
         Ok(mut client) => within(MOVE_TIMEOUT, client.move_run(request)).await,
         Err(status) => Err(status),
     };
-    match called {
+    match response {
         Ok(reply) => (convert::move_result(reply.result), reply.reason),
         Err(status) => (MoveResult::Failed, status.message().to_owned()),
     }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -121,16 +121,16 @@
 async fn tell_owners(gateway: &Gateway) {
     loop {
         gateway.words.rested.notified().await;
-        gateway.ledgers.changed.notify_one();
+        gateway.ledgers.runs_changed.notify_one();
     }
 }
 
 async fn tell_members(gateway: &Arc<Gateway>) {
     loop {
         gateway.words.news.notified().await;
-        gateway.ledgers.wake();
+        gateway.ledgers.wake_coordinator();
         // Generations at an engine that leaves are reported before they are moved.
-        gateway.ledgers.changed.notify_one();
+        gateway.ledgers.runs_changed.notify_one();
         // Two that speak within a moment are both told before the next turn.
         if let Some(due_at) = heartbeat::beat_soon(gateway) {
             gateway.sleep_until(due_at).await;
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -238,11 +238,11 @@
     note_regained(gateway);
     let changes = gateway.fleet.lock().apply_update(news, gateway.now());
     tell_changes(&changes);
-    gateway.ledgers.wake();
+    gateway.ledgers.wake_coordinator();
     let mut changes = changes.iter();
     if changes.any(|change| matches!(change, FleetChange::Left(_))) {
         // Owners move generations that were reported with an event.
-        gateway.ledgers.changed.notify_one();
+        gateway.ledgers.runs_changed.notify_one();
     }
 }
 
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 
 use super::aborted_requests;
-use super::coordinator::{self, Placed};
+use super::coordinator::{self, Placement};
 use super::crash_suspects::{self, Admission};
 use super::endpoint_cooldowns;
 use super::inbound_call::Call;
@@ -19,8 +19,10 @@
 use super::relay;
 use super::response_body::{ResponseBody, full_body};
 use super::runs::{RunCommand, RunHandle};
-use super::started::{Offers, RunGuard, Source, Started, tell_end};
-use super::takeover::{self, Silence};
+use super::started_generation::{
+    EngineAttempts, ResponseStream, RunGuard, StartedGeneration, record_generation_end,
+};
+use super::takeover::{self, StallDetector};
 use super::upstream::{ConnectError, ConnectionReuse, EndpointResponse, SendError};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::millis;
@@ -31,114 +33,134 @@
 use crate::kernel::suspects::Verdict;
 use crate::platform::{engine, ingress};
 
-/// Engines that one generation is offered to.
-const OFFERS_MAX: u32 = 5;
-/// Time to a first event before any was seen: what engines with four generations took to read 2,500 tokens, and how much that varied.
-const FIRST_EVENT: Pace = Pace::expecting(0.45, 0.25);
-/// Left of the caller's time when a generation is begun anew: its prompt has to be read once more.
-const BEGIN_ANEW_MIN: Duration = Duration::from_millis(300);
-/// Callers heed a time to come back up to this part of the time that they have left; the users say so.
-const CALLER_HEEDS_PART: u32 = 3;
-/// Prior for how long engines stay full once they are. Told to come back after 1 s, 90 of 1,450 generations were refused for good in place
-/// of 55, and 0.016 of worth was lost (two days of bursts and dead engines, six seeds each).
-const CROWD_LASTS: Duration = Duration::from_secs(5);
-/// Callers come back within this share of the longest time and all of it, so that they do not come together.
-const COME_BACK_SPREAD: f64 = 0.6;
-/// Tokens of a request whose caller does not tell: a middling one.
-const UNTOLD_PROMPT_TOKENS: u32 = 1_000;
-const UNTOLD_MADE_TOKENS: u32 = 500;
-
-/// Answers a call for a generation.
-pub(crate) async fn answer(call: Call) -> Response<ResponseBody> {
+/// Maximum number of engines that are tried for one generation.
+const ENGINE_ATTEMPTS_MAX: u32 = 5;
+/// Initial estimate of the time to the first event, used until a service has samples: what engines
+/// with four running generations took to read 2,500 prompt tokens, and the variation of that time.
+const INITIAL_FIRST_EVENT_TIME: Pace = Pace::expecting(0.45, 0.25);
+/// Minimum time left before the caller's deadline for restarting a generation, since its prompt has
+/// to be read once more.
+const RESTART_TIME_LEFT_MIN: Duration = Duration::from_millis(300);
+/// Callers honour a `Retry-After` of at most their remaining time divided by this; the users of the
+/// service state this.
+const RETRY_AFTER_MAX_DIVISOR: u32 = 3;
+/// Prior for how long engines stay full once they are.
+///
+/// With a `Retry-After` of 1 s, 90 of 1,450 generations were refused for good instead of 55, and
+/// 0.016 of worth was lost (two days of bursts and dead engines, six seeds each).
+const EXPECTED_OVERLOAD_DURATION: Duration = Duration::from_secs(5);
+/// Lower end of the random `Retry-After`, as a share of its upper end. The spread keeps callers
+/// from retrying at the same moment.
+const RETRY_AFTER_MIN_SHARE: f64 = 0.6;
+/// Assumed sizes of a medium request, for callers that send no token counts.
+const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
+const DEFAULT_GENERATED_TOKENS: u32 = 500;
+
+/// Handles a call for a generation and returns the response that streams its events.
+pub(crate) async fn handle_call(call: Call) -> Response<ResponseBody> {
     call.gateway.count_first_send(&call.service);
     let call = Arc::new(call);
-    match start(&call).await {
-        Ok(started) => relay::answer(call, started),
+    match start_generation(&call).await {
+        Ok(started) => relay::forward_response(call, started),
         Err(error) => {
-            tell_end(&call, &format!("{:?}", error.kind), &error.message, 0, 0);
+            record_generation_end(&call, &format!("{:?}", error.kind), &error.message, 0, 0);
             ingress::refusal(&error).map(full_body)
         }
     }
 }
 
-fn demand(call: &Call) -> RunDemand {
+/// Returns what the owner has to know to place the generation.
+fn run_demand(call: &Call) -> RunDemand {
     let tokens = call.head.tokens.as_ref();
     RunDemand {
         run: call.head.request_id.clone(),
-        prompt_tokens: tokens.map_or(UNTOLD_PROMPT_TOKENS, |tokens| tokens.prompt_tokens),
-        made_max_tokens: tokens.map_or(UNTOLD_MADE_TOKENS, |tokens| tokens.generated_max_tokens),
+        prompt_tokens: tokens.map_or(DEFAULT_PROMPT_TOKENS, |tokens| tokens.prompt_tokens),
+        made_max_tokens: tokens.map_or(DEFAULT_GENERATED_TOKENS, |tokens| {
+            tokens.generated_max_tokens
+        }),
         made_hint_tokens: tokens.and_then(|tokens| tokens.generated_hint_tokens),
         priority: u32::from(call.priority),
     }
 }
 
-/// How an offer to an engine ended, where it was not taken.
-enum NotStarted {
-    /// The engine refused it: another one may be asked.
+/// Why an attempt to start a generation at an engine did not succeed.
+enum AttemptFailure {
+    /// The engine refused the generation; another engine may be tried.
     Refused {
-        why: String,
-        /// Whether another endpoint is at its address.
+        reason: String,
+        /// Whether another endpoint answered at the engine's address.
         misdirected: bool,
     },
-    /// Nothing was sent: another engine may be asked.
+    /// Nothing was sent; another engine may be tried.
     Unsent {
-        why: String,
-        /// Whether nobody listens at the engine's address.
-        dead: bool,
+        reason: String,
+        /// Whether the connection was refused at the engine's address.
+        connection_refused: bool,
     },
-    /// It was found meanwhile that endpoints end under it. Nothing was sent.
+    /// The request became a refused crash suspect since its placement. Nothing was sent.
     Withheld,
-    /// The engine has asked for rest meanwhile. Nothing was sent.
-    Rests,
-    /// The engine takes no more from all instances for now. Nothing was sent.
-    Limited,
-    /// The engine failed, and says so. Another engine may be asked where the route's generations may be resumed.
-    Answered(Box<Begun>),
-    /// It may have run. Another engine may be asked where the route's generations may be resumed.
+    /// The engine started a cooldown since the placement. Nothing was sent.
+    CoolingDown,
+    /// The rate limit that the engine announces for all instances is used up. Nothing was sent.
+    RateLimited,
+    /// The engine answered with a server error. Another engine may be tried if the route's
+    /// generations are resumable.
+    ErrorResponse(Box<AttemptResponse>),
+    /// The generation may have run. Another engine may be tried if the route's generations are
+    /// resumable.
     Lost(Error),
-    /// The caller has to be told.
-    Failed(Error),
+    /// The request cannot be forwarded to any engine; the caller gets this error.
+    Fatal(Error),
 }
 
-impl NotStarted {
-    fn why(&self) -> String {
+impl AttemptFailure {
+    fn reason(&self) -> String {
         match self {
-            Self::Refused { why, .. } | Self::Unsent { why, .. } => why.clone(),
+            Self::Refused { reason, .. } | Self::Unsent { reason, .. } => reason.clone(),
             Self::Withheld => "endpoints end under it".to_owned(),
-            Self::Rests => "the engine rests".to_owned(),
-            Self::Limited => "the engine takes no more for now".to_owned(),
-            Self::Answered(begun) => format!("engine answered {}", begun.source.answer.head.status),
-            Self::Lost(error) | Self::Failed(error) => error.message.clone(),
+            Self::CoolingDown => "the engine rests".to_owned(),
+            Self::RateLimited => "the engine takes no more for now".to_owned(),
+            Self::ErrorResponse(attempt_response) => format!(
+                "engine answered {}",
+                attempt_response.source.response.head.status
+            ),
+            Self::Lost(error) | Self::Fatal(error) => error.message.clone(),
         }
     }
 
-    /// Whether the engine is not at its address any more: nobody listens there, or another endpoint does. All that place are told, so that each
-    /// does not ask by itself: 631 of 3,427 generations were answered by other starts than the expected ones while a quarter of the endpoints
-    /// started again six times, one run.
-    fn is_dead(&self) -> bool {
+    /// Returns whether the engine is gone from its address: the connection was refused, or another
+    /// endpoint answered there.
+    ///
+    /// This is reported to all instances that place generations, so that each does not have to find
+    /// out by itself: without it, 631 of 3,427 generations were answered by other incarnations than
+    /// the expected ones while a quarter of the endpoints restarted six times (one run).
+    fn is_engine_gone(&self) -> bool {
         matches!(
             self,
-            Self::Unsent { dead: true, .. }
-                | Self::Refused {
-                    misdirected: true,
-                    ..
-                }
+            Self::Unsent {
+                connection_refused: true,
+                ..
+            } | Self::Refused {
+                misdirected: true,
+                ..
+            }
         )
     }
 }
 
-impl Offers {
-    /// Counts what an offer has cost: a request that reached an engine, and a run where there may have been one.
-    fn count(&mut self, offered: &Result<Begun, NotStarted>) {
-        let (sent, may_have_run) = match offered {
-            Ok(_) | Err(NotStarted::Answered(_) | NotStarted::Lost(_)) => (1, 1),
-            Err(NotStarted::Refused { .. }) => (1, 0),
+impl EngineAttempts {
+    /// Counts an attempt: a send if a request reached an engine, and a run if the generation may
+    /// have run there.
+    fn record(&mut self, result: &Result<AttemptResponse, AttemptFailure>) {
+        let (sent, may_have_run) = match result {
+            Ok(_) | Err(AttemptFailure::ErrorResponse(_) | AttemptFailure::Lost(_)) => (1, 1),
+            Err(AttemptFailure::Refused { .. }) => (1, 0),
             Err(
-                NotStarted::Unsent { .. }
-                | NotStarted::Withheld
-                | NotStarted::Rests
-                | NotStarted::Limited
-                | NotStarted::Failed(_),
+                AttemptFailure::Unsent { .. }
+                | AttemptFailure::Withheld
+                | AttemptFailure::CoolingDown
+                | AttemptFailure::RateLimited
+                | AttemptFailure::Fatal(_),
             ) => (0, 0),
         };
         self.sends += sent;
@@ -146,48 +168,52 @@
     }
 }
 
-async fn start(call: &Arc<Call>) -> Result<Started, Error> {
+async fn start_generation(call: &Arc<Call>) -> Result<StartedGeneration, Error> {
     let last_event_id = last_event_id(call);
-    start_after(call, Offers::default(), last_event_id).await
+    start_from_event(call, EngineAttempts::default(), last_event_id).await
 }
 
-/// The last event that the caller has already, where it may resume.
+/// Returns the ID of the last event that the caller received, if the route's generations are
+/// resumable.
 pub(crate) fn last_event_id(call: &Call) -> Option<&str> {
     let id = call.head.last_event_id.as_deref();
     id.filter(|_| call.route.resumable)
 }
 
-/// Whether a generation that may have run at these engines may be begun anew at another one.
-pub(crate) fn may_begin_anew(call: &Call, offers: &Offers) -> bool {
+/// Returns whether a generation that may have run at the engines tried so far can be restarted at
+/// another engine.
+pub(crate) fn can_restart(call: &Call, attempts: &EngineAttempts) -> bool {
     call.route.resumable
-        && !offers.restricted
-        && offers.runs < call.route.attempts_max
-        && call.time_left() > BEGIN_ANEW_MIN
+        && !attempts.restricted
+        && attempts.runs < call.route.attempts_max
+        && call.time_left() > RESTART_TIME_LEFT_MIN
 }
 
-/// Offers a generation to one engine after the other until one begins to answer after the given event.
-pub(crate) async fn start_after(
+/// Tries one engine after another until one starts to answer, after the event `last_event_id` if it
+/// is given.
+pub(crate) async fn start_from_event(
     call: &Arc<Call>,
-    mut offers: Offers,
+    mut attempts: EngineAttempts,
     last_event_id: Option<&str>,
-) -> Result<Started, Error> {
+) -> Result<StartedGeneration, Error> {
     let gateway = &call.gateway;
-    let demand = demand(call);
+    let demand = run_demand(call);
     let mut reason = String::new();
-    let mut tries = FailedTries::default();
-    for _ in 0..OFFERS_MAX {
+    let mut failures = FailedAttempts::default();
+    for _ in 0..ENGINE_ATTEMPTS_MAX {
         if call.time_left().is_zero() {
             reason.push_str("; no time left");
             break;
         }
-        // A request that ends endpoints is sent to no more of them, whatever became of its earlier tries.
-        match crash_suspects::admission(call, offers.restricted) {
+        // A refused crash suspect is sent to no further endpoint, whatever the result of its
+        // earlier attempts.
+        match crash_suspects::admission(call, attempts.restricted) {
             Admission::Admitted => {}
             Admission::Restricted { excluded } => {
-                offers.restricted = true;
-                offers.excluded.extend(excluded);
+                attempts.restricted = true;
+                attempts.excluded.extend(excluded);
             }
-            Admission::Refused if offers.runs == 0 => {
+            Admission::Refused if attempts.runs == 0 => {
                 return Err(crash_suspects::refusal_error(call));
             }
             Admission::Refused => {
@@ -195,123 +221,141 @@
                 break;
             }
         }
-        if offers.sends > 0 && !gateway.take_retry(&call.service) {
+        if attempts.sends > 0 && !gateway.take_retry(&call.service) {
             reason.push_str("; retry budget spent");
             break;
         }
-        let wait = wait_for_room(call, &offers);
-        if !opens_in_time(call, &offers, wait).await {
+        let wait = capacity_wait(call, &attempts);
+        if !wait_for_available_engine(call, &attempts, wait).await {
             reason.push_str("; all engines rest or leave");
             break;
         }
-        let wait = wait_for_room(call, &offers);
-        let excluded = excluded_now(call, &offers);
-        let placed = coordinator::place(gateway, &call.service, &demand, &excluded, wait).await;
-        let Some(Placed {
+        let wait = capacity_wait(call, &attempts);
+        let excluded = excluded_engines(call, &attempts);
+        let placement = coordinator::place(gateway, &call.service, &demand, &excluded, wait).await;
+        let Some(Placement {
             engine: granted,
             counted_at,
-        }) = placed
+        }) = placement
         else {
             reason.push_str("; no room");
             break;
         };
-        tell_placed(call, &demand, &granted);
-        let patience = patience(call, &offers);
-        let restricted = offers.restricted;
-        let offer = Offer {
+        log_placement(call, &demand, &granted);
+        let response_timeout = response_timeout(call, &attempts);
+        let restricted = attempts.restricted;
+        let params = AttemptParams {
             granted: &granted,
             counted_at,
             last_event_id,
-            patience,
+            response_timeout,
             restricted,
         };
-        let offered = offer_to(call, &demand, offer).await;
-        offers.count(&offered);
-        let not_started = match offered {
-            Ok(begun) => return Ok(begun.started(offers)),
-            Err(NotStarted::Withheld | NotStarted::Rests | NotStarted::Limited) => continue,
-            Err(not_started) => not_started,
+        let result = try_engine(call, &demand, params).await;
+        attempts.record(&result);
+        let failure = match result {
+            Ok(attempt_response) => return Ok(attempt_response.into_started(attempts)),
+            Err(
+                AttemptFailure::Withheld
+                | AttemptFailure::CoolingDown
+                | AttemptFailure::RateLimited,
+            ) => continue,
+            Err(failure) => failure,
         };
-        reason = not_started.why();
-        let is_dead = not_started.is_dead();
-        if tries.is_final(call, &offers, not_started) {
+        reason = failure.reason();
+        let is_engine_gone = failure.is_engine_gone();
+        if failures.record(call, &attempts, failure) {
             break;
         }
         gateway
             .runs
-            .note_not_taken(&call.service, &granted, is_dead);
-        gateway.ledgers.changed.notify_one();
-        offers.excluded.push(granted);
+            .record_unavailable_engine(&call.service, &granted, is_engine_gone);
+        gateway.ledgers.runs_changed.notify_one();
+        attempts.excluded.push(granted);
     }
-    tries.outcome(call, offers, &reason)
+    failures.into_result(call, attempts, &reason)
 }
 
-/// What to answer where no engine begins: the truth about all engines that may have run the generation.
+/// The failures to report if no engine starts the generation. They cover every engine that may have
+/// run it.
 #[derive(Default)]
-struct FailedTries {
-    /// A failure that an engine answered with.
-    answered: Option<Box<Begun>>,
-    /// An engine may have run it, or it cannot be sent at all.
+struct FailedAttempts {
+    /// The last server error that an engine answered with.
+    error_response: Option<Box<AttemptResponse>>,
+    /// The last error of an attempt that may have run, or of a request that cannot be sent at all.
     error: Option<Error>,
 }
 
-impl FailedTries {
-    /// Keeps what a try leaves to tell the caller; gives whether no other engine may be asked.
-    fn is_final(&mut self, call: &Call, offers: &Offers, not_started: NotStarted) -> bool {
-        match not_started {
-            NotStarted::Refused { .. }
-            | NotStarted::Unsent { .. }
-            | NotStarted::Withheld
-            | NotStarted::Rests
-            | NotStarted::Limited => false,
-            NotStarted::Answered(begun) => {
-                self.answered = Some(begun);
-                !may_begin_anew(call, offers)
+impl FailedAttempts {
+    /// Records a failed attempt and returns whether it is final, so that no other engine may be
+    /// tried.
+    fn record(&mut self, call: &Call, attempts: &EngineAttempts, failure: AttemptFailure) -> bool {
+        match failure {
+            AttemptFailure::Refused { .. }
+            | AttemptFailure::Unsent { .. }
+            | AttemptFailure::Withheld
+            | AttemptFailure::CoolingDown
+            | AttemptFailure::RateLimited => false,
+            AttemptFailure::ErrorResponse(attempt_response) => {
+                self.error_response = Some(attempt_response);
+                !can_restart(call, attempts)
             }
-            NotStarted::Lost(error) => {
+            AttemptFailure::Lost(error) => {
                 self.error = Some(error);
-                !may_begin_anew(call, offers)
+                !can_restart(call, attempts)
             }
-            NotStarted::Failed(error) => {
+            AttemptFailure::Fatal(error) => {
                 self.error = Some(error);
                 true
             }
         }
     }
 
-    fn outcome(self, call: &Call, offers: Offers, reason: &str) -> Result<Started, Error> {
-        if let Some(begun) = self.answered {
-            return Ok(begun.started(offers));
+    fn into_result(
+        self,
+        call: &Call,
+        attempts: EngineAttempts,
+        reason: &str,
+    ) -> Result<StartedGeneration, Error> {
+        if let Some(attempt_response) = self.error_response {
+            return Ok(attempt_response.into_started(attempts));
         }
-        // Once an engine may have run it, no later refusal makes it "not run".
+        // Once an engine may have run the generation, a later refusal must not report it as not
+        // run.
         Err(self.error.unwrap_or_else(|| {
-            if offers.runs == 0 {
-                no_room(call, reason)
+            if attempts.runs == 0 {
+                no_capacity_error(call, reason)
             } else {
-                may_have_run(call, ErrorKind::EndpointLost, reason)
+                may_have_run_error(call, ErrorKind::EndpointLost, reason)
             }
         }))
     }
 }
 
-/// How long room is waited for: as long as the first event can still come within the goal; a generation that has begun, until it can just
-/// be served.
-fn wait_for_room(call: &Call, offers: &Offers) -> Duration {
-    let usual = call.gateway.pace(&call.service, FIRST_EVENT).usual();
-    let until = if offers.runs > 0 {
+/// Returns how long to wait for capacity.
+///
+/// A generation that has not run waits as long as its first event can still meet the latency
+/// objective; one that may have run waits as long as it can still be served before its deadline.
+fn capacity_wait(call: &Call, attempts: &EngineAttempts) -> Duration {
+    let typical = call
+        .gateway
+        .pace(&call.service, INITIAL_FIRST_EVENT_TIME)
+        .usual();
+    let budget = if attempts.runs > 0 {
         call.time_left()
     } else {
         call.route.goal.saturating_sub(call.age())
     };
-    until.saturating_sub(usual)
+    budget.saturating_sub(typical)
 }
 
-/// Whether some engine that it may go to does not rest, or none did and one that is to be had within the wait has been waited for.
-async fn opens_in_time(call: &Call, offers: &Offers, wait: Duration) -> bool {
+/// Waits until an eligible engine is out of cooldown, for at most `wait`. Returns whether there is
+/// one, without a wait if an engine is available now.
+async fn wait_for_available_engine(call: &Call, attempts: &EngineAttempts, wait: Duration) -> bool {
     let gateway = &call.gateway;
-    let waits_until = gateway.now().saturating_add(wait);
-    let is_excluded = |engine: &EndpointEntry| offers.excluded.contains(&engine.id);
-    match endpoint_cooldowns::cooldown_outlook(call, is_excluded, waits_until) {
+    let wait_deadline = gateway.now().saturating_add(wait);
+    let is_excluded = |engine: &EndpointEntry| attempts.excluded.contains(&engine.id);
+    match endpoint_cooldowns::cooldown_outlook(call, is_excluded, wait_deadline) {
         Outlook::Open => true,
         Outlook::Opens { at } => {
             gateway.sleep_until(at).await;
@@ -321,45 +365,51 @@
     }
 }
 
-/// Engines that are not to be granted: those that did not take it, and those that ask this instance for rest. The owner, whom they did not ask, would
-/// grant them for as long as they look empty.
-fn excluded_now(call: &Call, offers: &Offers) -> Vec<String> {
+/// Returns the engines that must not be granted: those that did not accept the generation, and
+/// those in a cooldown towards this instance. The owner did not receive these cooldowns and would
+/// grant the engines for as long as they look empty.
+fn excluded_engines(call: &Call, attempts: &EngineAttempts) -> Vec<String> {
     let mut excluded = call.gateway.cooling_down_endpoints();
-    excluded.extend(offers.excluded.iter().cloned());
+    excluded.extend(attempts.excluded.iter().cloned());
     excluded.into_iter().collect()
 }
 
-/// How long an engine may take to begin: all that is left, but for what another one needs where one can be asked. Not sooner: what was read
-/// of the prompt is lost with it (left when a repeat could only just meet the goal, 8.7 of 295 short generations came late and 0 with this;
-/// mean of six seeds of a quiet day).
-fn patience(call: &Call, offers: &Offers) -> Duration {
+/// Returns how long an engine may take to send its first event: all the time that is left, less the
+/// time that another engine needs if one can still be tried.
+///
+/// A shorter timeout throws away the part of the prompt that was already read. When the timeout
+/// still left a retry just enough time for the latency objective, 8.7 of 295 short generations were
+/// late, and 0 with this rule (mean of six seeds of a quiet day).
+fn response_timeout(call: &Call, attempts: &EngineAttempts) -> Duration {
     let left = call.time_left();
-    let another = call.route.resumable && offers.runs + 1 < call.route.attempts_max;
-    if another {
-        let pace = call.gateway.pace(&call.service, FIRST_EVENT);
+    let can_try_another = call.route.resumable && attempts.runs + 1 < call.route.attempts_max;
+    if can_try_another {
+        let pace = call.gateway.pace(&call.service, INITIAL_FIRST_EVENT_TIME);
         left.saturating_sub(pace.usual())
     } else {
         left
     }
 }
 
-fn no_room(call: &Call, reason: &str) -> Error {
+fn no_capacity_error(call: &Call, reason: &str) -> Error {
     Error::new(
         ErrorKind::NoRoom,
         format!("service {}: {reason}; not run", call.service),
     )
     .with_retry_after(
-        endpoint_cooldowns::retry_after_cooldown(call).unwrap_or_else(|| room_expected(call)),
+        endpoint_cooldowns::retry_after_cooldown(call)
+            .unwrap_or_else(|| capacity_retry_after(call)),
     )
 }
 
-/// When to come back to full engines. A caller comes back once: too soon, it meets the same crowd.
-fn room_expected(call: &Call) -> Duration {
-    let most = (call.time_left() / CALLER_HEEDS_PART).min(CROWD_LASTS);
-    most.mul_f64(rand::rng().random_range(COME_BACK_SPREAD..1.0))
+/// Returns when to retry while the engines are full. A caller retries once: if it does so too
+/// early, the engines are still overloaded.
+fn capacity_retry_after(call: &Call) -> Duration {
+    let upper_bound = (call.time_left() / RETRY_AFTER_MAX_DIVISOR).min(EXPECTED_OVERLOAD_DURATION);
+    upper_bound.mul_f64(rand::rng().random_range(RETRY_AFTER_MIN_SHARE..1.0))
 }
 
-fn tell_placed(call: &Call, demand: &RunDemand, granted: &str) {
+fn log_placement(call: &Call, demand: &RunDemand, granted: &str) {
     if crate::log::admits("generation placed") {
         info!("generation placed", kv: {
             request_id = demand.run.as_str(), endpoint = granted,
@@ -369,20 +419,20 @@
     }
 }
 
-/// How a generation is offered to an engine.
-struct Offer<'a> {
+/// Parameters of one attempt at an engine.
+struct AttemptParams<'a> {
     granted: &'a str,
-    /// When the place was counted against the limit that the engine names.
+    /// When the placement was counted against the rate limit that the engine announces, if it was.
     counted_at: Option<Duration>,
-    /// The last event that the caller has.
+    /// ID of the last event that the caller received.
     last_event_id: Option<&'a str>,
-    patience: Duration,
-    /// Whether endpoints end under its content.
+    response_timeout: Duration,
+    /// Whether the request is a crash suspect that may be sent only to some endpoints.
     restricted: bool,
 }
 
-/// Has a generation count as one that runs at an engine.
-fn register(
+/// Registers a generation as running at an engine.
+fn register_run(
     call: &Arc<Call>,
     demand: &RunDemand,
     engine: &EndpointEntry,
@@ -392,53 +442,54 @@
         service: call.service.clone(),
         demand: demand.clone(),
         endpoint: Mutex::new(engine.clone()),
-        made_tokens: AtomicU32::new(0),
+        generated_tokens: AtomicU32::new(0),
         commands: sender,
     });
     call.gateway.runs.insert(run.clone());
-    let handle = RunGuard {
+    let run_guard = RunGuard {
         call: call.clone(),
         run,
     };
-    (handle, commands)
+    (run_guard, commands)
 }
 
-async fn offer_to(
+async fn try_engine(
     call: &Arc<Call>,
     demand: &RunDemand,
-    offer: Offer<'_>,
-) -> Result<Begun, NotStarted> {
-    let Offer {
+    params: AttemptParams<'_>,
+) -> Result<AttemptResponse, AttemptFailure> {
+    let AttemptParams {
         granted,
         counted_at,
         last_event_id,
-        patience,
+        response_timeout,
         restricted,
-    } = offer;
+    } = params;
     let gateway = &call.gateway;
     let endpoint = gateway.fleet.lock().get(granted).cloned();
-    let unsent = |why: &str| NotStarted::Unsent {
-        why: why.to_owned(),
-        dead: false,
+    let unsent = |reason: &str| AttemptFailure::Unsent {
+        reason: reason.to_owned(),
+        connection_refused: false,
     };
     let endpoint = endpoint.ok_or_else(|| unsent("engine unknown here"))?;
-    let (handle, commands) = register(call, demand, &endpoint);
+    let (run_guard, commands) = register_run(call, demand, &endpoint);
     let open_max = gateway.connections_max(&call.table, &call.service);
-    // A generation is sent once: on a silent connection it would be lost. A new connection takes a round trip of its goal.
+    // A generation is sent once, so it would be lost on a pooled connection that is dead. A new
+    // connection costs one round trip of the latency objective.
     let connection = gateway
         .upstream
         .acquire_connection(&endpoint, open_max, ConnectionReuse::Never)
         .await;
-    let connection = connection.map_err(|none| NotStarted::Unsent {
-        why: none.to_string(),
-        dead: matches!(none, ConnectError::Refused(_)),
+    let connection = connection.map_err(|error| AttemptFailure::Unsent {
+        reason: error.to_string(),
+        connection_refused: matches!(error, ConnectError::Refused(_)),
     })?;
     let permit = match counted_at {
         Some(_) => Some(gateway.permit_of_place(granted, counted_at)),
         None => gateway.permit(&call.service, granted).await,
     };
-    let permit = permit.ok_or(NotStarted::Limited)?;
-    may_still_be_sent(call, &endpoint, restricted)?;
+    let permit = permit.ok_or(AttemptFailure::RateLimited)?;
+    check_before_send(call, &endpoint, restricted)?;
     let send = EndpointRequestHead {
         endpoint_id: &endpoint.listed_id,
         time_left: call.time_left(),
@@ -448,80 +499,88 @@
         last_event_id,
     };
     let request = engine::forward(&call.parts, call.body.clone(), &send).map_err(|error| {
-        NotStarted::Failed(Error::new(ErrorKind::BadRequest, error.to_string()))
+        AttemptFailure::Fatal(Error::new(ErrorKind::BadRequest, error.to_string()))
     })?;
     let sent_at = gateway.now();
     let sending = connection.send(request, permit);
-    let answered = first_answer(call, &handle.run, last_event_id, sending);
-    let answer = match gateway.wait_for(patience, answered).await {
-        Some(Ok(answer)) => answer,
-        Some(Err(SendError::Unsent(why))) => return Err(unsent(&why)),
-        Some(Err(SendError::NoPermit)) => return Err(NotStarted::Limited),
-        Some(Err(SendError::MayHaveRun(why))) => {
+    let response_future = await_response_head(call, &run_guard.run, last_event_id, sending);
+    let response = match gateway.wait_for(response_timeout, response_future).await {
+        Some(Ok(response)) => response,
+        Some(Err(SendError::Unsent(reason))) => return Err(unsent(&reason)),
+        Some(Err(SendError::NoPermit)) => return Err(AttemptFailure::RateLimited),
+        Some(Err(SendError::MayHaveRun(reason))) => {
             aborted_requests::report(call, endpoint, Duration::ZERO).await;
-            return Err(lost(call, ErrorKind::EndpointLost, &why));
+            return Err(lost_error(call, ErrorKind::EndpointLost, &reason));
+        }
+        None => {
+            return Err(lost_error(
+                call,
+                ErrorKind::AnswerTimeout,
+                "no event in time",
+            ));
         }
-        None => return Err(lost(call, ErrorKind::AnswerTimeout, "no event in time")),
     };
-    if answer
+    if response
         .head
         .request_id
         .as_deref()
         .is_some_and(|id| id != demand.run)
     {
-        return Err(lost(
+        return Err(lost_error(
             call,
             ErrorKind::EndpointLost,
             "answer of another request",
         ));
     }
-    if answer.head.not_run {
-        let status = answer.head.status;
-        return Err(NotStarted::Refused {
-            why: format!("engine refused: {status}"),
-            misdirected: answer.head.misdirected,
+    if response.head.not_run {
+        let status = response.head.status;
+        return Err(AttemptFailure::Refused {
+            reason: format!("engine refused: {status}"),
+            misdirected: response.head.misdirected,
         });
     }
-    let sound = answer.head.sealed && !answer.head.encoded && answer.head.request_id.is_some();
-    if answer.parts.status.is_success() && !sound {
-        return Err(lost(
+    let is_valid_response =
+        response.head.sealed && !response.head.encoded && response.head.request_id.is_some();
+    if response.parts.status.is_success() && !is_valid_response {
+        return Err(lost_error(
             call,
             ErrorKind::EndpointLost,
             "not the engine's own answer",
         ));
     }
-    let fails = answer.parts.status.is_server_error();
-    let begun = Begun {
-        source: Source::new(answer),
-        handle,
+    let is_server_error_response = response.parts.status.is_server_error();
+    let attempt_response = AttemptResponse {
+        source: ResponseStream::new(response),
+        run_guard,
         commands,
     };
-    if fails {
-        return Err(NotStarted::Answered(Box::new(begun)));
+    if is_server_error_response {
+        return Err(AttemptFailure::ErrorResponse(Box::new(attempt_response)));
     }
-    let took = gateway.now().saturating_sub(sent_at);
-    gateway.note_pace(&call.service, FIRST_EVENT, took);
-    Ok(begun)
+    let elapsed = gateway.now().saturating_sub(sent_at);
+    gateway.note_pace(&call.service, INITIAL_FIRST_EVENT_TIME, elapsed);
+    Ok(attempt_response)
 }
 
-/// Looks last before a generation is sent: news may have come since it was placed, and the machine may have been suspended.
-fn may_still_be_sent(
+/// Repeats the checks right before sending: updates may have arrived since the placement, or the
+/// machine may have been suspended.
+fn check_before_send(
     call: &Call,
     engine: &EndpointEntry,
     restricted: bool,
-) -> Result<(), NotStarted> {
-    let unsent = |why: &str| NotStarted::Unsent {
-        why: why.to_owned(),
-        dead: false,
+) -> Result<(), AttemptFailure> {
+    let unsent = |reason: &str| AttemptFailure::Unsent {
+        reason: reason.to_owned(),
+        connection_refused: false,
     };
     if !call.gateway.fleet.lock().can_accept_work(&engine.id) {
         return Err(unsent("the engine is leaving"));
     }
     if call.gateway.is_cooling_down(&engine.id) {
-        return Err(NotStarted::Rests);
+        return Err(AttemptFailure::CoolingDown);
     }
     if !restricted && crash_suspects::current_verdict(call) == Verdict::Refused {
-        return Err(NotStarted::Withheld);
+        return Err(AttemptFailure::Withheld);
     }
     if call.time_left().is_zero() {
         return Err(unsent("no time left"));
@@ -529,59 +588,68 @@
     Ok(())
 }
 
-/// Waits for the head of an engine's answer. Where the engine has made events and none has come, the generation goes on on a new connection.
-async fn first_answer(
+/// Waits for the head of an engine's response. If the stream stalls although the engine has
+/// generated events, the generation is resumed on a new connection.
+async fn await_response_head(
     call: &Arc<Call>,
     run: &RunHandle,
     last_event_id: Option<&str>,
     sending: impl Future<Output = Result<EndpointResponse, SendError>>,
 ) -> Result<EndpointResponse, SendError> {
     tokio::pin!(sending);
-    let mut silence = Silence::from_now();
-    let came = last_event_id.and_then(|id| id.parse().ok());
-    let why = loop {
-        let answered = call.gateway.wait_for(silence.ask_after, &mut sending);
-        if let Some(answered) = answered.await {
-            return answered;
+    let mut stall_detector = StallDetector::start();
+    let received_events = last_event_id.and_then(|id| id.parse().ok());
+    let reason = loop {
+        let sent = call
+            .gateway
+            .wait_for(stall_detector.query_after, &mut sending);
+        if let Some(result) = sent.await {
+            return result;
         }
         let engine = run.endpoint.lock().clone();
-        if let Some(why) = silence.ask(call, &engine, came.unwrap_or_default()).await {
-            break why;
+        if let Some(reason) = stall_detector
+            .query_engine(call, &engine, received_events.unwrap_or_default())
+            .await
+        {
+            break reason;
         }
     };
-    let lost = |why: String| SendError::MayHaveRun(why);
-    let taken_over = takeover::take_over(call, run, why).await;
-    let continuation = taken_over.ok_or_else(|| lost(why.to_owned()))?;
-    let answer = takeover::resume(call, &continuation, last_event_id).await;
-    let answer = answer.map_err(lost)?;
+    let may_have_run = |reason: String| SendError::MayHaveRun(reason);
+    let taken_over = takeover::take_over(call, run, reason).await;
+    let continuation = taken_over.ok_or_else(|| may_have_run(reason.to_owned()))?;
+    let response = takeover::resume(call, &continuation, last_event_id).await;
+    let response = response.map_err(may_have_run)?;
     *run.endpoint.lock() = continuation.target;
-    call.gateway.ledgers.changed.notify_one();
-    Ok(answer)
+    call.gateway.ledgers.runs_changed.notify_one();
+    Ok(response)
 }
 
-/// An engine's answer, before it is known what came before it.
-struct Begun {
-    source: Source,
-    handle: RunGuard,
+/// An engine's response, not yet joined with the attempts before it.
+struct AttemptResponse {
+    source: ResponseStream,
+    run_guard: RunGuard,
     commands: mpsc::UnboundedReceiver<RunCommand>,
 }
 
-impl Begun {
-    fn started(self, offers: Offers) -> Started {
-        Started {
+impl AttemptResponse {
+    fn into_started(self, attempts: EngineAttempts) -> StartedGeneration {
+        StartedGeneration {
             source: self.source,
-            handle: self.handle,
+            run_guard: self.run_guard,
             commands: self.commands,
-            offers,
+            attempts,
         }
     }
 }
 
-fn lost(call: &Call, kind: ErrorKind, why: &str) -> NotStarted {
-    NotStarted::Lost(may_have_run(call, kind, why))
+fn lost_error(call: &Call, kind: ErrorKind, reason: &str) -> AttemptFailure {
+    AttemptFailure::Lost(may_have_run_error(call, kind, reason))
 }
 
-fn may_have_run(call: &Call, kind: ErrorKind, why: &str) -> Error {
+fn may_have_run_error(call: &Call, kind: ErrorKind, reason: &str) -> Error {
     let service = &call.service;
-    Error::new(kind, format!("service {service}: {why}; it may have run"))
+    Error::new(
+        kind,
+        format!("service {service}: {reason}; it may have run"),
+    )
 }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -47,7 +47,7 @@
             info!("{}", what, kv: { hall, complete_to: = complete_to, source });
         }
         if !changes.is_empty() {
-            self.ledgers.wake();
+            self.ledgers.wake_coordinator();
         }
     }
 
--- a/src/gateway/ledgers.rs
+++ b/src/gateway/ledgers.rs
@@ -1,4 +1,5 @@
-//! The ledgers of the services with engines, each under its own lock, and the generations that wait for room.
+//! Engine ledgers, one per service and each under its own lock, and the generations that wait for
+//! capacity.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,33 +13,33 @@
 use crate::kernel::owner_contact::OwnerContact;
 use crate::kernel::permits::SumShare;
 
-/// Where a generation that waits for room is answered.
+/// A generation that waits for capacity.
 pub(crate) struct Waiter {
-    /// Names it to the engines.
+    /// Request ID by which the engines know the generation.
     pub(crate) run: String,
-    pub(crate) answer: oneshot::Sender<Option<String>>,
+    pub(crate) reply_sender: oneshot::Sender<Option<String>>,
 }
 
-/// Names a list of engines.
+/// The inputs from which a ledger's engines were built; the engines are rebuilt when they change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct EnginesOf {
+pub(crate) struct EngineListKey {
     pub(crate) config_version: u64,
     pub(crate) fleet_version: u64,
-    /// As whom this instance sends to cold engines.
+    /// Role in which this instance sends to cold engines.
     pub(crate) sender: Sender,
-    /// State of the limits that endpoints name.
+    /// Version of the rate limits that endpoints announce.
     pub(crate) limits_version: u64,
-    /// The part of these limits that is placed from here, where there are any.
+    /// Share of these limits that this instance grants, if there are any limits.
     pub(crate) limit_share: Option<SumShare>,
 }
 
 #[derive(Default)]
 pub(crate) struct ServiceShard {
     pub(crate) ledger: EngineLedger,
-    /// Configuration and state of the fleet that the ledger's engines were taken from.
-    pub(crate) engines_of: Option<EnginesOf>,
+    /// Inputs from which the ledger's engines were built.
+    pub(crate) engine_list_key: Option<EngineListKey>,
     pub(crate) queue: AdmissionQueue,
-    /// Those that wait in the queue.
+    /// The generations in the queue.
     pub(crate) waiters: HashMap<QueueTicket, Waiter>,
 }
 
@@ -46,25 +47,25 @@
 #[derive(Default)]
 pub(crate) struct Ledgers {
     own_name: String,
-    /// Whether the owners answer this instance.
+    /// Tracks whether the owners are reachable from this instance.
     pub(crate) owners: Mutex<OwnerContact>,
     services: Mutex<HashMap<String, Arc<Mutex<ServiceShard>>>>,
-    /// Wakes the report loop when generations begin or end.
-    pub(crate) changed: Notify,
-    /// Wakes the owner's loop.
-    pub(crate) wanted: Notify,
+    /// Wakes the report loop when generations start or end.
+    pub(crate) runs_changed: Notify,
+    /// Wakes the coordinator loop.
+    pub(crate) coordinator_wakeup: Notify,
 }
 
 impl Ledgers {
-    /// The ledgers of an instance.
-    pub(crate) fn of_instance(own_name: &str) -> Self {
+    /// Creates the ledgers of the instance with this name.
+    pub(crate) fn for_instance(own_name: &str) -> Self {
         Self {
             own_name: own_name.to_owned(),
             ..Self::default()
         }
     }
 
-    /// The ledger of a service.
+    /// Returns the ledger of a service and creates it if necessary.
     pub(crate) fn shard(&self, service: &str) -> Arc<Mutex<ServiceShard>> {
         let mut services = self.services.lock();
         let shard = services.entry(service.to_owned()).or_insert_with(|| {
@@ -77,7 +78,7 @@
         shard.clone()
     }
 
-    /// All ledgers, by service.
+    /// Returns all ledgers by service.
     pub(crate) fn all(&self) -> Vec<(String, Arc<Mutex<ServiceShard>>)> {
         let services = self.services.lock();
         let all = services.iter();
@@ -85,12 +86,12 @@
             .collect()
     }
 
-    /// Looks through the ledgers soon.
-    pub(crate) fn wake(&self) {
-        self.wanted.notify_one();
+    /// Wakes the coordinator loop to process the ledgers soon.
+    pub(crate) fn wake_coordinator(&self) {
+        self.coordinator_wakeup.notify_one();
     }
 
-    /// Engines by service, for the dump.
+    /// Returns the engines by service for the debug dump.
     pub(crate) fn dump(&self) -> HashMap<String, BTreeMap<String, EngineSummary>> {
         let all = self.all().into_iter();
         all.map(|(name, shard)| (name, shard.lock().ledger.summary()))
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 //! | `held_calls` | calls held until the instance is ready |
 //! | `request_handler` | handles the requests of callers |
 //! | `plain_call`, `endpoint_selection` | calls with a single response, and the selection of their endpoint |
-//! | `generation`, `started`, `relay` | generations: placed, then passed on event by event, also when they move |
+//! | `generation`, `started_generation`, `relay` | generations: placed, then passed on event by event, also when they move |
 //! | `takeover` | generations whose connection to their engine has gone silent |
 //! | `upstream` | connection pools of the endpoints |
 //! | `endpoint_words` | what endpoints say of themselves in any answer |
@@ -65,7 +65,7 @@
 pub(crate) mod runs;
 pub(crate) mod shared_store;
 pub mod site_store;
-pub(crate) mod started;
+pub(crate) mod started_generation;
 pub(crate) mod subject_cache;
 pub(crate) mod suspend_aware_waits;
 pub(crate) mod takeover;
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -1,4 +1,5 @@
-//! Carries out the move of a generation: its memory is copied while it runs, then it is stopped and the rest is copied.
+//! Moves a generation to another engine: its memory is copied while it runs, then it is stopped and
+//! the remainder is copied.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,13 +13,15 @@
 use crate::peer::generated as wire;
 use crate::platform::engine::{self, Copied};
 
-/// Longest wait for a copy; a whole memory between halls takes half of it.
+/// Longest wait for a copy; copying all of a generation's memory between halls takes half of it.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Largest answer to an order to copy.
-const ANSWER_MAX_BYTES: usize = 64 << 10;
+/// Largest response to a copy request.
+const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
-/// Moves a generation served here. Answers once its memory has been copied and its engine is being asked to stop it, so that the link
-/// is free for the next one while this one goes on.
+/// Moves a generation that this instance serves.
+///
+/// Returns once the memory has been copied and its engine is being asked to stop it, so that the
+/// link is free for the next move while this one continues.
 pub(crate) async fn move_run(
     gateway: &Arc<Gateway>,
     order: &wire::MoveRunRequest,
@@ -45,72 +48,74 @@
         return (MoveResult::Failed, "it runs elsewhere".to_owned());
     }
     let counted = order.target_counted;
-    match copy(gateway, &run, &source, &target, false).await {
+    match copy_memory(gateway, &run, &source, &target, false).await {
         Ok(Copied::Done(_)) => {}
-        other => return not_copied(other),
+        other => return copy_failure(other),
     }
     let gateway = gateway.clone();
-    tokio::spawn(async move { stop_and_copy(&gateway, &run, &source, &target, counted).await });
+    tokio::spawn(async move { finish_move(&gateway, &run, &source, &target, counted).await });
     (MoveResult::Copied, String::new())
 }
 
-async fn stop_and_copy(
+async fn finish_move(
     gateway: &Gateway,
     run: &RunHandle,
     source: &EndpointEntry,
     target: &EndpointEntry,
     counted: bool,
 ) {
-    send(run, RunCommand::Stopping);
-    match stop(gateway, run, source, target, counted).await {
-        Ok(continuation) => send(run, RunCommand::Continue(Box::new(continuation))),
-        Err(why) => {
-            send(run, RunCommand::NotStopped);
+    send_command(run, RunCommand::Stopping);
+    match stop_run(gateway, run, source, target, counted).await {
+        Ok(continuation) => send_command(run, RunCommand::Continue(Box::new(continuation))),
+        Err(reason) => {
+            send_command(run, RunCommand::StopFailed);
             if crate::log::admits("generation not stopped") {
                 warn!("generation not stopped", kv: {
-                    request_id = run.demand.run.as_str(), source = source.id.as_str(), why = why.as_str(),
+                    request_id = run.demand.run.as_str(), source = source.id.as_str(), why = reason.as_str(),
                 });
             }
         }
     }
 }
 
-/// Has an engine stop a generation and copy its memory. Gives where it goes on. `counted` tells whether that is counted against what the target takes.
-pub(super) async fn stop(
+/// Asks an engine to stop a generation and copy its memory, and returns the continuation. `counted`
+/// tells whether the continuation was counted against the rate limit of the target.
+pub(super) async fn stop_run(
     gateway: &Gateway,
     run: &RunHandle,
     source: &EndpointEntry,
     target: &EndpointEntry,
     counted: bool,
 ) -> Result<Continuation, String> {
-    let goes_on_at = |target: &EndpointEntry, copy, counted| Continuation {
+    let continue_at = |target: &EndpointEntry, copy, counted| Continuation {
         target: target.clone(),
         copy_address: source.address,
         copy,
         counted,
     };
-    match copy(gateway, run, source, target, true).await? {
-        Copied::Done(copy) => Ok(goes_on_at(target, copy, counted)),
-        // It was stopped, and its engine still has its memory: it goes on there.
-        Copied::NoRoom(Some(kept)) => Ok(goes_on_at(source, kept, false)),
+    match copy_memory(gateway, run, source, target, true).await? {
+        Copied::Done(copy) => Ok(continue_at(target, copy, counted)),
+        // The generation was stopped and its engine still has its memory, so it continues there.
+        Copied::NoRoom(Some(kept)) => Ok(continue_at(source, kept, false)),
         other => Err(format!("{other:?}")),
     }
 }
 
-fn not_copied(copied: Result<Copied, String>) -> (MoveResult, String) {
+fn copy_failure(copied: Result<Copied, String>) -> (MoveResult, String) {
     match copied {
         Ok(Copied::NoRoom(_)) => (MoveResult::NoRoom, "no room".to_owned()),
         Ok(other) => (MoveResult::Failed, format!("{other:?}")),
-        Err(why) => (MoveResult::Failed, why),
+        Err(reason) => (MoveResult::Failed, reason),
     }
 }
 
-/// The task that passes the generation on may have ended; then nobody needs the command.
-fn send(run: &RunHandle, command: RunCommand) {
+/// Sends a command to the task that forwards the generation. If that task has ended, the command is
+/// no longer needed.
+fn send_command(run: &RunHandle, command: RunCommand) {
     let _ = run.commands.send(command);
 }
 
-async fn copy(
+async fn copy_memory(
     gateway: &Gateway,
     run: &RunHandle,
     source: &EndpointEntry,
@@ -122,15 +127,15 @@
     }
     let request = engine::move_request(source.address, &run.demand.run, target.address, stop)
         .map_err(|error| error.to_string())?;
-    let called = async {
+    let call = async {
         let permit = gateway.permit_soon(&source.service, &source.id).await;
         let permit = permit.ok_or("the engine takes no more for now")?;
         let upstream = &gateway.upstream;
-        let asked = upstream.send_control_request(source, request, ANSWER_MAX_BYTES, permit);
-        let (status, body) = asked.await?;
+        let response = upstream.send_control_request(source, request, RESPONSE_MAX_BYTES, permit);
+        let (status, body) = response.await?;
         Ok(engine::decode_moved(status, &body))
     };
-    tokio::time::timeout(COPY_TIMEOUT, called)
+    tokio::time::timeout(COPY_TIMEOUT, call)
         .await
         .map_err(|_| "no answer in time".to_owned())?
 }
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -209,7 +209,7 @@
             routing.freshness(),
             tally.clone(),
         );
-        let ledgers = Ledgers::of_instance(&settings.instance);
+        let ledgers = Ledgers::for_instance(&settings.instance);
         let fleet: Arc<Mutex<Fleet>> = Arc::default();
         let words = Arc::new(EndpointWords::new(clock.clone(), fleet.clone()));
         Self {
--- a/src/gateway/ownership.rs
+++ b/src/gateway/ownership.rs
@@ -1,10 +1,12 @@
-//! Who owns a service's engines, and whether this instance decides on them itself.
+//! Determines which instance owns a service's engines, and whether this instance decides on them
+//! itself.
 
 use spdlog::info;
 
 use super::node::{Gateway, Stage};
 
-/// Peer address of the owner of a service's engines; nothing where it is this instance.
+/// Returns the peer address of the owner of a service's engines; `None` if this instance is the
+/// owner or no owner is known.
 pub(super) fn owner_address(gateway: &Gateway, service: &str) -> Option<String> {
     let live = gateway.live.view();
     let owner = match gateway.in_flight.stage() {
@@ -15,8 +17,8 @@
     is_other.then(|| owner.peer_address.clone())
 }
 
-/// The owner's address where it is another instance that answers.
-pub(super) fn owner_to_ask(gateway: &Gateway, service: &str) -> Option<String> {
+/// Returns the owner's address if the owner is another instance and reachable.
+pub(super) fn reachable_owner_address(gateway: &Gateway, service: &str) -> Option<String> {
     let address = owner_address(gateway, service)?;
     let is_lost = gateway
         .ledgers
@@ -26,7 +28,8 @@
     (!is_lost).then_some(address)
 }
 
-/// Whether this instance decides on a service's engines: as their owner, or alone since it cannot reach the owner.
+/// Returns whether this instance decides on a service's engines, as their owner or alone because it
+/// is cut off from the owner.
 pub(super) fn acts_as_owner(gateway: &Gateway, service: &str) -> bool {
     owner_address(gateway, service).is_none()
         || gateway
@@ -36,13 +39,16 @@
             .is_cut_off(service, gateway.now())
 }
 
-/// Takes whether the owner of a service answered. An instance that is cut off from it acts alone until it does: a wait for the owner at each
-/// generation makes all of them late, and nobody else moves what it serves off engines that leave.
-pub(super) fn note_owner(gateway: &Gateway, service: &str, answered: bool) {
+/// Records whether the owner of a service answered a call.
+///
+/// An instance that is cut off from the owner acts alone until the owner answers: waiting for the
+/// owner at each generation would delay all of them, and nobody else moves the generations that
+/// this instance serves off leaving engines.
+pub(super) fn record_owner_call(gateway: &Gateway, service: &str, answered: bool) {
     let now = gateway.now();
-    let is_news = gateway.ledgers.owners.lock().note(service, answered, now);
-    if is_news {
-        info!("owner", kv: { service, answered: });
-        gateway.ledgers.wake();
+    let has_changed = gateway.ledgers.owners.lock().note(service, answered, now);
+    if has_changed {
+        info!("owner reachability changed", kv: { service, answered: });
+        gateway.ledgers.wake_coordinator();
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -8,7 +8,7 @@
 
 use super::node::Gateway;
 use super::parts::EncodedPage;
-use super::runs::NotTaken;
+use super::runs::UnavailableEngines;
 use super::tally::Work;
 use super::{catch_up, coordinator, heartbeat, moves};
 use crate::kernel::clock::millis;
@@ -89,7 +89,7 @@
         let begun = self.gateway.now();
         let request = request.into_inner();
         let demand = request.demand.ok_or(BadField("demand"))?.into();
-        let granted = coordinator::place_here(
+        let granted = coordinator::place_locally(
             &self.gateway,
             &request.service,
             &demand,
@@ -117,15 +117,15 @@
         let report = request.into_inner();
         let runs: Result<Vec<ReportedRun>, BadField> =
             report.runs.into_iter().map(ReportedRun::try_from).collect();
-        coordinator::take_report(
+        coordinator::apply_run_report(
             &self.gateway,
             &report.service,
             &report.entry,
             runs?,
-            &NotTaken {
+            &UnavailableEngines {
                 refused: report.refused.into_iter().collect(),
-                dead: report.dead.into_iter().collect(),
-                resting: report.resting.into_iter().collect(),
+                gone: report.dead.into_iter().collect(),
+                cooling_down: report.resting.into_iter().collect(),
             },
         );
         Ok(Response::new(wire::RunsReply {}))
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -11,7 +11,7 @@
 use spdlog::{info, warn};
 
 use super::node::Gateway;
-use super::ownership::{acts_as_owner, owner_address, owner_to_ask};
+use super::ownership::{acts_as_owner, owner_address, reachable_owner_address};
 use super::site_store::Subject;
 use crate::kernel::clock::{Clock, millis};
 use crate::kernel::limit::{LimitChange, LimitNews, LimitWord, Limits};
@@ -237,7 +237,8 @@
     /// Asks the giver for a permit. The time in an answer is on this instance's clock.
     async fn ask_for_permit(&self, service: &str, told: LimitNews) -> Answer {
         let own_name = &self.incarnation.name;
-        let Some(address) = owner_to_ask(self, &self.giver_key(service, &told.endpoint)) else {
+        let Some(address) = reachable_owner_address(self, &self.giver_key(service, &told.endpoint))
+        else {
             return self.give_permit(service, &told, own_name);
         };
         let request = wire::PermitRequest {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a generation on event by event, also when it goes on at another engine.
+//! Forwards a generation to its caller event by event, also when it continues at another engine.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,69 +18,77 @@
 use super::inbound_call::Call;
 use super::response_body::{ResponseAborted, ResponseBody};
 use super::runs::{Continuation, RunCommand};
-use super::started::{Offers, RunGuard, Source, Started, tell_end};
-use super::takeover::{self, Silence};
+use super::started_generation::{
+    EngineAttempts, ResponseStream, RunGuard, StartedGeneration, record_generation_end,
+};
+use super::takeover::{self, StallDetector};
 use super::upstream::EndpointResponse;
 use crate::kernel::clock::millis;
 use crate::kernel::suspects::BEGINNING;
 use crate::platform::engine;
 
-/// An engine that was asked to stop a generation closes its stream, and the place to go on is known, within this time.
-const STOP_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Longest time from the request to stop a generation until its stream is closed and its
+/// continuation is known.
+const STOP_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest wait for the stream of a stopped generation to close.
-const CLOSE_PATIENCE: Duration = Duration::from_millis(120);
-/// How often a generation is taken over from an engine whose stream broke off.
-const TAKEN_OVER_MAX: u32 = 2;
+const STREAM_CLOSE_TIMEOUT: Duration = Duration::from_millis(120);
+/// Maximum number of times that a generation is taken over from an engine whose stream broke.
+const TAKEOVERS_MAX: u32 = 2;
 /// Longest wait for the first event after a move.
-const RESUME_PATIENCE: Duration = Duration::from_millis(2_500);
+const RESUME_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 struct Relay {
     call: Arc<Call>,
-    handle: RunGuard,
+    run_guard: RunGuard,
     commands: mpsc::UnboundedReceiver<RunCommand>,
-    /// Absent between two engines.
-    source: Option<Source>,
-    /// Whether an engine was asked to stop it, and the place to go on is not known yet.
-    stopping: bool,
-    /// Where it goes on once its stopped source has closed the stream: what the source made before must be read first.
+    /// The current stream; `None` between two engines.
+    source: Option<ResponseStream>,
+    /// Whether an engine was asked to stop the generation and its continuation is not known yet.
+    is_stopping: bool,
+    /// Where the generation continues once the stopped engine has closed its stream: the events
+    /// generated before the stop must be read first.
     pending: Option<Continuation>,
     event_tokens: u32,
     events: u32,
-    /// When the first event came from the engine that runs it now.
+    /// Arrival time of the first event from the current engine.
     first_event_at: Option<Duration>,
-    /// Whether an engine was seen to run it on past its beginning.
-    ran_on: bool,
+    /// Whether an engine has run the generation past its start window.
+    ran_past_start: bool,
     last_event_id: Option<String>,
     moves: u32,
-    silence: Silence,
-    /// How often it was taken over from an engine whose stream broke off.
-    taken_over: u32,
-    /// The engines so far, in case it has to begin anew.
-    offers: Offers,
-    ended: bool,
+    stall_detector: StallDetector,
+    /// Number of times the generation was taken over from an engine whose stream broke.
+    takeovers: u32,
+    /// The attempts so far, needed if the generation is restarted.
+    attempts: EngineAttempts,
+    has_ended: bool,
 }
 
-/// How far one step came.
+/// Outcome of waiting for the stream once.
 enum Step {
-    /// Events to pass on.
+    /// Events to forward.
     Events(Bytes),
-    /// The generation is whole.
+    /// The generation is complete.
     End,
-    /// No event has come for some time.
-    Silent,
-    /// The source broke off.
-    Broken(String),
-    /// It goes on elsewhere.
+    /// No event arrived for the stall timeout.
+    Stalled,
+    /// The stream broke.
+    Aborted(String),
+    /// The generation continues with its memory at an engine.
     Continue(Box<Continuation>),
-    /// It begins anew after the last event that was passed on.
-    BeginAnew(String),
-    /// Nothing to pass on yet.
-    Again,
+    /// The generation is restarted from the prompt; forwarding continues after the last forwarded
+    /// event.
+    Restart(String),
+    /// Nothing to forward yet.
+    Pending,
 }
 
-/// The answer to the caller, passed on as it comes.
-pub(crate) fn answer(call: Arc<Call>, started: Started) -> Response<ResponseBody> {
-    let parts = &started.source.answer.parts;
+/// Returns the response to the caller; its body is forwarded as it arrives.
+pub(crate) fn forward_response(
+    call: Arc<Call>,
+    started: StartedGeneration,
+) -> Response<ResponseBody> {
+    let parts = &started.source.response.parts;
     let mut response = Response::new(());
     *response.status_mut() = parts.status;
     *response.headers_mut() = engine::answer_headers(parts);
@@ -89,112 +97,114 @@
         .and_then(|service| service.engine)
         .map_or(1, |engine| engine.event_tokens);
     let relay = Relay {
-        handle: started.handle,
+        run_guard: started.run_guard,
         commands: started.commands,
         source: Some(started.source),
-        stopping: false,
+        is_stopping: false,
         pending: None,
         event_tokens,
         events: 0,
         first_event_at: None,
-        ran_on: false,
+        ran_past_start: false,
         last_event_id: generation::last_event_id(&call).map(str::to_owned),
         moves: 0,
-        silence: Silence::from_now(),
-        taken_over: 0,
-        offers: started.offers,
-        ended: false,
+        stall_detector: StallDetector::start(),
+        takeovers: 0,
+        attempts: started.attempts,
+        has_ended: false,
         call,
     };
     let frames = stream::unfold(relay, |mut relay| async {
-        relay.next().await.map(|frame| (frame, relay))
+        relay.next_frame().await.map(|frame| (frame, relay))
     });
     let (parts, ()) = response.into_parts();
     Response::from_parts(parts, BodyExt::boxed_unsync(StreamBody::new(frames)))
 }
 
 impl Relay {
-    async fn next(&mut self) -> Option<Result<Frame<Bytes>, ResponseAborted>> {
-        if self.ended {
+    async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, ResponseAborted>> {
+        if self.has_ended {
             return None;
         }
         loop {
-            let mut step = self.step().await;
-            if let Step::Silent = step {
-                step = self.ask_source().await;
+            let mut step = self.next_step().await;
+            if let Step::Stalled = step {
+                step = self.query_stalled_engine().await;
             }
-            if let Step::Broken(why) = step {
-                self.note_broken_off().await;
-                step = self.after_break(why).await;
+            if let Step::Aborted(reason) = step {
+                self.report_abort().await;
+                step = self.recover_from_abort(reason).await;
             }
             match step {
                 Step::Events(bytes) => return Some(Ok(Frame::data(bytes))),
-                Step::Again | Step::Silent => {}
+                Step::Pending | Step::Stalled => {}
                 Step::Continue(continuation) => {
-                    if let Err(why) = self.go_on_or_begin_anew(*continuation).await {
-                        return Some(Err(self.fail(&why)));
+                    if let Err(reason) = self.resume_or_restart(*continuation).await {
+                        return Some(Err(self.fail(&reason)));
                     }
                 }
-                Step::BeginAnew(why) => {
-                    if let Err(why) = self.begin_anew(why).await {
-                        return Some(Err(self.fail(&why)));
+                Step::Restart(reason) => {
+                    if let Err(reason) = self.restart(reason).await {
+                        return Some(Err(self.fail(&reason)));
                     }
                 }
                 Step::End => {
                     self.finish();
                     return None;
                 }
-                Step::Broken(why) => return Some(Err(self.fail(&why))),
+                Step::Aborted(reason) => return Some(Err(self.fail(&reason))),
             }
         }
     }
 
-    /// Waits for the source, a command, or a silence that is too long.
-    async fn step(&mut self) -> Step {
+    /// Waits for data, a command, or a timeout.
+    async fn next_step(&mut self) -> Step {
         let Some(source) = &mut self.source else {
-            return Step::Broken("no source".to_owned());
+            return Step::Aborted("no engine stream to read from".to_owned());
         };
         let left = self.call.time_left();
-        let (patience, silent) = if self.pending.is_some() {
-            (CLOSE_PATIENCE, None)
-        } else if self.silence.ask_after < left && !self.stopping {
-            (self.silence.ask_after, Some(Step::Silent))
+        let (timeout, on_timeout) = if self.pending.is_some() {
+            (STREAM_CLOSE_TIMEOUT, None)
+        } else if self.stall_detector.query_after < left && !self.is_stopping {
+            (self.stall_detector.query_after, Some(Step::Stalled))
         } else {
             (left, None)
         };
         let gateway = self.call.gateway.clone();
         tokio::select! {
             biased;
-            frame = source.answer.body.frame() => match frame {
+            frame = source.response.body.frame() => match frame {
                 Some(Ok(frame)) => match frame.data_ref() {
-                    Some(data) => self.take_data(&data.clone()),
-                    None => Step::Again,
+                    Some(data) => self.process_data(&data.clone()),
+                    None => Step::Pending,
                 },
-                Some(Err(error)) => Step::Broken(error.to_string()),
+                Some(Err(error)) => Step::Aborted(error.to_string()),
                 None if source.splitter.is_between_events() => Step::End,
-                None => Step::Broken("the stream ended inside an event".to_owned()),
+                None => Step::Aborted("engine stream ended inside an event".to_owned()),
             },
-            Some(command) = self.commands.recv() => self.take_command(command),
-            () = gateway.sleep_for(patience) => {
-                silent.unwrap_or_else(|| Step::Broken("silent for too long".to_owned()))
+            Some(command) = self.commands.recv() => self.handle_command(command),
+            () = gateway.sleep_for(timeout) => {
+                on_timeout.unwrap_or_else(|| {
+                    Step::Aborted("no event from the engine before the timeout".to_owned())
+                })
             }
         }
     }
 
-    fn take_data(&mut self, data: &[u8]) -> Step {
+    fn process_data(&mut self, data: &[u8]) -> Step {
         let Some(source) = &mut self.source else {
-            return Step::Again;
+            return Step::Pending;
         };
         let events = match source.splitter.push(data) {
             Ok(events) => events,
-            Err(error) => return Step::Broken(error.to_string()),
+            Err(error) => return Step::Aborted(error.to_string()),
         };
         let mut bytes = BytesMut::new();
         for event in events {
-            if !self.is_next(event.id.as_deref()) {
-                return Step::Broken("an event is missing".to_owned());
+            if !self.is_contiguous(event.id.as_deref()) {
+                return Step::Aborted("engine stream skipped an event".to_owned());
             }
-            if self.is_known(event.id.as_deref()) {
+            if self.is_already_forwarded(event.id.as_deref()) {
                 continue;
             }
             self.events += 1;
@@ -203,196 +213,202 @@
             }
             bytes.extend_from_slice(&event.bytes);
         }
-        self.silence = Silence::from_now();
+        self.stall_detector = StallDetector::start();
         let now = self.call.gateway.now();
         let first_event_at = *self.first_event_at.get_or_insert(now);
-        if !self.ran_on && now.saturating_sub(first_event_at) > BEGINNING {
-            self.ran_on = true;
+        if !self.ran_past_start && now.saturating_sub(first_event_at) > BEGINNING {
+            self.ran_past_start = true;
             crash_suspects::record_progress(&self.call);
         }
-        let made = self.events.saturating_mul(self.event_tokens);
-        let handle = &self.handle.run;
-        handle.made_tokens.store(made, Ordering::Relaxed);
+        let generated = self.events.saturating_mul(self.event_tokens);
+        let run = &self.run_guard.run;
+        run.generated_tokens.store(generated, Ordering::Relaxed);
         if bytes.is_empty() {
-            Step::Again
+            Step::Pending
         } else {
             Step::Events(bytes.freeze())
         }
     }
 
-    fn last_number(&self) -> Option<u64> {
+    fn last_event_number(&self) -> Option<u64> {
         self.last_event_id.as_ref()?.parse().ok()
     }
 
-    /// Whether an event was passed on already, by the engine before.
-    fn is_known(&self, id: Option<&str>) -> bool {
+    /// Returns whether an event was already forwarded from the previous engine.
+    fn is_already_forwarded(&self, id: Option<&str>) -> bool {
         let number = id.and_then(|id| id.parse::<u64>().ok());
-        match (number, self.last_number()) {
+        match (number, self.last_event_number()) {
             (Some(number), Some(last)) => number <= last,
             _ => false,
         }
     }
 
-    /// Whether no event is missing before this one; ids are numbers that rise by one.
-    fn is_next(&self, id: Option<&str>) -> bool {
+    /// Returns whether no event is missing before this one. Event IDs are consecutive numbers.
+    fn is_contiguous(&self, id: Option<&str>) -> bool {
         let number = id.and_then(|id| id.parse::<u64>().ok());
-        match (number, self.last_number()) {
+        match (number, self.last_event_number()) {
             (Some(number), Some(last)) => number <= last + 1,
             (Some(number), None) => number <= 1,
             _ => true,
         }
     }
 
-    fn take_command(&mut self, command: RunCommand) -> Step {
+    fn handle_command(&mut self, command: RunCommand) -> Step {
         match command {
             RunCommand::Stopping => {
-                self.stopping = true;
-                Step::Again
+                self.is_stopping = true;
+                Step::Pending
             }
-            RunCommand::NotStopped => {
-                self.stopping = false;
-                Step::Again
+            RunCommand::StopFailed => {
+                self.is_stopping = false;
+                Step::Pending
             }
             RunCommand::Continue(continuation) => {
                 self.pending = Some(*continuation);
-                Step::Again
+                Step::Pending
             }
         }
     }
 
-    /// Notes that the engine broke off, unless it was asked to.
-    async fn note_broken_off(&self) {
-        if self.stopping || self.pending.is_some() {
+    /// Reports that the engine aborted the request, unless it was asked to stop it.
+    async fn report_abort(&self) {
+        if self.is_stopping || self.pending.is_some() {
             return;
         }
-        let endpoint = self.handle.run.endpoint.lock().clone();
+        let endpoint = self.run_guard.run.endpoint.lock().clone();
         let now = self.call.gateway.now();
         let ran_for = self.first_event_at.map(|at| now.saturating_sub(at));
         aborted_requests::report(&self.call, endpoint, ran_for.unwrap_or_default()).await;
     }
 
-    /// The source broke off: the place to go on is about to be known, or it may begin anew, or it is the end.
-    async fn after_break(&mut self, why: String) -> Step {
+    /// Determines how to proceed after the stream broke: wait for the continuation of a stop,
+    /// restart, take the generation over, or fail.
+    async fn recover_from_abort(&mut self, reason: String) -> Step {
         self.source = None;
         if let Some(continuation) = self.pending.take() {
             return Step::Continue(Box::new(continuation));
         }
-        while self.stopping {
+        while self.is_stopping {
             let commands = &mut self.commands;
-            let command = self.call.gateway.wait_for(STOP_PATIENCE, commands.recv());
+            let command = self.call.gateway.wait_for(STOP_TIMEOUT, commands.recv());
             match command.await {
                 Some(Some(RunCommand::Continue(continuation))) => {
                     return Step::Continue(continuation);
                 }
                 Some(Some(RunCommand::Stopping)) => {}
-                Some(Some(RunCommand::NotStopped) | None) | None => self.stopping = false,
+                Some(Some(RunCommand::StopFailed) | None) | None => self.is_stopping = false,
             }
         }
-        if generation::may_begin_anew(&self.call, &self.offers) {
-            return Step::BeginAnew(why);
+        if generation::can_restart(&self.call, &self.attempts) {
+            return Step::Restart(reason);
         }
-        let taken_over = self.take_over(&why).await;
-        taken_over.map_or(Step::Broken(why), |continuation| {
+        let continuation = self.take_over(&reason).await;
+        continuation.map_or(Step::Aborted(reason), |continuation| {
             Step::Continue(Box::new(continuation))
         })
     }
 
-    /// Asks the engine of a silent stream what became of the generation.
-    async fn ask_source(&mut self) -> Step {
-        let engine = self.handle.run.endpoint.lock().clone();
-        let came = self.last_number().unwrap_or_default();
-        let given_up = self.silence.ask(&self.call, &engine, came).await;
-        given_up.map_or(Step::Again, |why| Step::Broken(why.to_owned()))
+    /// Asks the engine of a stalled stream for the state of the generation.
+    async fn query_stalled_engine(&mut self) -> Step {
+        let engine = self.run_guard.run.endpoint.lock().clone();
+        let received_events = self.last_event_number().unwrap_or_default();
+        let abort_reason = self
+            .stall_detector
+            .query_engine(&self.call, &engine, received_events)
+            .await;
+        abort_reason.map_or(Step::Pending, |reason| Step::Aborted(reason.to_owned()))
     }
 
-    /// Has the engine of a stream that broke off stop the generation; gives where it goes on.
-    async fn take_over(&mut self, why: &str) -> Option<Continuation> {
-        if self.taken_over >= TAKEN_OVER_MAX {
+    /// Asks the engine of a broken stream to stop the generation and returns its continuation,
+    /// unless it has been taken over too often.
+    async fn take_over(&mut self, reason: &str) -> Option<Continuation> {
+        if self.takeovers >= TAKEOVERS_MAX {
             return None;
         }
-        self.taken_over += 1;
-        takeover::take_over(&self.call, &self.handle.run, why).await
+        self.takeovers += 1;
+        takeover::take_over(&self.call, &self.run_guard.run, reason).await
     }
 
-    async fn go_on_or_begin_anew(&mut self, continuation: Continuation) -> Result<(), String> {
-        match self.go_on(continuation).await {
-            Err(why) if generation::may_begin_anew(&self.call, &self.offers) => {
-                self.begin_anew(why).await
+    async fn resume_or_restart(&mut self, continuation: Continuation) -> Result<(), String> {
+        match self.resume_at_target(continuation).await {
+            Err(reason) if generation::can_restart(&self.call, &self.attempts) => {
+                self.restart(reason).await
             }
             other => other,
         }
     }
 
-    /// Begins anew at another engine, which goes on after the last event that was passed on.
-    async fn begin_anew(&mut self, why: String) -> Result<(), String> {
-        let engine = self.handle.run.endpoint.lock().id.clone();
-        let mut offers = std::mem::take(&mut self.offers);
-        offers.excluded.push(engine);
+    /// Restarts the generation at another engine, which continues after the last forwarded event.
+    async fn restart(&mut self, reason: String) -> Result<(), String> {
+        let engine = self.run_guard.run.endpoint.lock().id.clone();
+        let mut attempts = std::mem::take(&mut self.attempts);
+        attempts.excluded.push(engine);
         let after = self.last_event_id.clone();
-        let started = generation::start_after(&self.call, offers, after.as_deref()).await;
+        let started = generation::start_from_event(&self.call, attempts, after.as_deref()).await;
         let outcome = started
             .as_ref()
             .err()
             .map_or("begun", |error| &error.message);
         if crate::log::admits("generation begun anew") {
             info!("generation begun anew", kv: {
-                request_id = self.call.head.request_id.as_str(), why = why.as_str(), outcome,
+                request_id = self.call.head.request_id.as_str(), why = reason.as_str(), outcome,
                 last_event_id:? = after,
             });
         }
         let started = started.map_err(|error| error.message)?;
-        if !started.source.answer.parts.status.is_success() {
+        if !started.source.response.parts.status.is_success() {
             return Err(format!(
                 "engine answered {}",
-                started.source.answer.head.status
+                started.source.response.head.status
             ));
         }
-        self.handle = started.handle;
+        self.run_guard = started.run_guard;
         self.commands = started.commands;
-        self.offers = started.offers;
+        self.attempts = started.attempts;
         self.source = Some(started.source);
         self.first_event_at = None;
         Ok(())
     }
 
-    /// Goes on at another engine; where that one refuses, at the one that stopped it, which still has its memory.
-    async fn go_on(&mut self, continuation: Continuation) -> Result<(), String> {
-        self.stopping = false;
+    /// Resumes the generation at the target. If the target refuses, resumes it at the engine that
+    /// stopped it, which still holds its memory.
+    async fn resume_at_target(&mut self, continuation: Continuation) -> Result<(), String> {
+        self.is_stopping = false;
         self.source = None;
-        let before = self.handle.run.endpoint.lock().clone();
-        let (target, answer) = match self.try_at(&continuation).await {
-            Ok(answer) => (continuation.target, answer),
-            Err(_) if continuation.target.id != before.id => {
+        let previous = self.run_guard.run.endpoint.lock().clone();
+        let (target, response) = match self.try_resume_at(&continuation).await {
+            Ok(response) => (continuation.target, response),
+            Err(_) if continuation.target.id != previous.id => {
                 let call = &self.call;
                 let refused = &continuation.target.id;
                 call.gateway
                     .runs
-                    .note_not_taken(&call.service, refused, false);
-                let back = Continuation {
-                    target: before,
+                    .record_unavailable_engine(&call.service, refused, false);
+                let fallback = Continuation {
+                    target: previous,
                     counted: false,
                     ..continuation
                 };
-                let answer = self.try_at(&back).await?;
-                (back.target, answer)
+                let response = self.try_resume_at(&fallback).await?;
+                (fallback.target, response)
             }
-            Err(why) => return Err(why),
+            Err(reason) => return Err(reason),
         };
         self.moves += 1;
-        *self.handle.run.endpoint.lock() = target;
-        self.call.gateway.ledgers.changed.notify_one();
-        self.source = Some(Source::new(answer));
+        *self.run_guard.run.endpoint.lock() = target;
+        self.call.gateway.ledgers.runs_changed.notify_one();
+        self.source = Some(ResponseStream::new(response));
         self.first_event_at = None;
         Ok(())
     }
 
-    async fn try_at(&self, continuation: &Continuation) -> Result<EndpointResponse, String> {
-        let begun = self.call.gateway.now();
+    async fn try_resume_at(&self, continuation: &Continuation) -> Result<EndpointResponse, String> {
+        let started_at = self.call.gateway.now();
         let after = self.last_event_id.as_deref();
         let resumed = takeover::resume(&self.call, continuation, after);
-        let resumed = tokio::time::timeout(RESUME_PATIENCE, resumed).await;
+        let resumed = tokio::time::timeout(RESUME_TIMEOUT, resumed).await;
         let resumed = resumed.unwrap_or_else(|_| Err("no event in time".to_owned()));
-        let pause_ms = millis(self.call.gateway.now().saturating_sub(begun));
+        let pause_ms = millis(self.call.gateway.now().saturating_sub(started_at));
         if crate::log::admits("generation moved") {
             let outcome = resumed.as_ref().err().map_or("gone on", String::as_str);
             info!("generation moved", kv: {
@@ -405,25 +421,25 @@
     }
 
     fn finish(&mut self) {
-        self.ended = true;
-        let engine = self.handle.run.endpoint.lock().clone();
+        self.has_ended = true;
+        let engine = self.run_guard.run.endpoint.lock().clone();
         crash_suspects::record_survived(&self.call, &engine);
-        tell_end(&self.call, "whole", "", self.events, self.moves);
+        record_generation_end(&self.call, "whole", "", self.events, self.moves);
         self.source = None;
     }
 
-    fn fail(&mut self, why: &str) -> ResponseAborted {
-        self.ended = true;
+    fn fail(&mut self, reason: &str) -> ResponseAborted {
+        self.has_ended = true;
         self.source = None;
-        tell_end(&self.call, "broken", why, self.events, self.moves);
-        ResponseAborted(why.to_owned())
+        record_generation_end(&self.call, "broken", reason, self.events, self.moves);
+        ResponseAborted(reason.to_owned())
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.ended {
-            tell_end(&self.call, "caller gone", "", self.events, self.moves);
+        if !self.has_ended {
+            record_generation_end(&self.call, "caller gone", "", self.events, self.moves);
         }
     }
 }
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -56,7 +56,7 @@
     let stage = gateway.in_flight.stage();
     let response = match accept_call(&gateway, request, arrived).await {
         Ok(call) => match call.route.kind {
-            CallKind::Generation => generation::answer(call).await,
+            CallKind::Generation => generation::handle_call(call).await,
             CallKind::Once | CallKind::Repeatable => plain_call::handle_call(call).await,
         },
         Err(refused) => {
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -1,4 +1,4 @@
-//! Tells the owners which generations this instance serves.
+//! Reports the generations that this instance serves to the owners of their services.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,27 +6,29 @@
 
 use spdlog::warn;
 
-use super::coordinator::take_report;
+use super::coordinator::apply_run_report;
 use super::node::Gateway;
-use super::ownership::{note_owner, owner_address};
-use super::runs::NotTaken;
+use super::ownership::{owner_address, record_owner_call};
+use super::runs::UnavailableEngines;
 use crate::kernel::engine_ledger::ReportedRun;
 use crate::peer::client::within;
 use crate::peer::generated as wire;
 
-/// Longest wait for a report to the owner.
+/// Longest wait for the owner to accept a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between reports of an entry whose generations do not end, at a site of up to [`REPORT_INSTANCES`] instances; also while a generation
-/// runs on an engine that leaves.
-const REPORT_EVERY: Duration = Duration::from_millis(400);
-/// Longest such pause: three reports within the time after which a silent entry counts as gone.
-const REPORT_EVERY_MAX: Duration = Duration::from_secs(1);
-/// Instances beyond which the pause grows in proportion: one owner hears them all.
-const REPORT_INSTANCES: usize = 100;
-/// Least pause between reports.
-const REPORT_PAUSE: Duration = Duration::from_millis(40);
+/// Interval between reports of an instance whose generations do not end, at a site of up to
+/// [`REPORT_INTERVAL_INSTANCES`] instances; also while a generation runs on a leaving engine.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// Longest such interval. It allows three reports within the time after which an instance that
+/// sends none counts as gone.
+const REPORT_INTERVAL_MAX: Duration = Duration::from_secs(1);
+/// Number of instances beyond which the interval grows in proportion, since one owner receives the
+/// reports of all.
+const REPORT_INTERVAL_INSTANCES: usize = 100;
+/// Shortest time between two reports.
+const REPORT_PAUSE_MIN: Duration = Duration::from_millis(40);
 
-/// Reports this instance's generations to the owners for the life of the instance.
+/// Reports this instance's generations to the owners until the instance stops.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     let mut reported: BTreeSet<String> = BTreeSet::new();
     loop {
@@ -34,42 +36,45 @@
         // A service whose last generation has ended is reported once more.
         services.append(&mut reported);
         for service in &services {
-            let runs = gateway.runs.of_service(service);
+            let runs = gateway.runs.reported_runs(service);
             if !runs.is_empty() {
                 reported.insert(service.clone());
             }
             report(&gateway, service, runs).await;
         }
         tokio::select! {
-            () = tokio::time::sleep(report_pause(&gateway)) => {}
-            () = gateway.ledgers.changed.notified() => tokio::time::sleep(REPORT_PAUSE).await,
+            () = tokio::time::sleep(report_interval(&gateway)) => {}
+            () = gateway.ledgers.runs_changed.notified() => tokio::time::sleep(REPORT_PAUSE_MIN).await,
         }
     }
 }
 
-/// How long an entry waits before it reports what goes on as before.
-fn report_pause(gateway: &Gateway) -> Duration {
+/// Returns how long an instance waits before it reports unchanged generations again.
+fn report_interval(gateway: &Gateway) -> Duration {
     let is_leaving = {
         let fleet = gateway.fleet.lock();
-        let engines = gateway.runs.endpoints();
+        let engines = gateway.runs.active_engines();
         engines.iter().any(|engine| fleet.is_leaving(engine))
     };
     if is_leaving {
-        return REPORT_EVERY;
+        return REPORT_INTERVAL;
     }
     let count = |instances: usize| u32::try_from(instances).unwrap_or(u32::MAX);
-    let times = f64::from(count(gateway.instances())) / f64::from(count(REPORT_INSTANCES));
-    REPORT_EVERY.mul_f64(times.max(1.0)).min(REPORT_EVERY_MAX)
+    let factor =
+        f64::from(count(gateway.instances())) / f64::from(count(REPORT_INTERVAL_INSTANCES));
+    REPORT_INTERVAL
+        .mul_f64(factor.max(1.0))
+        .min(REPORT_INTERVAL_MAX)
 }
 
 async fn report(gateway: &Gateway, service: &str, runs: Vec<ReportedRun>) {
-    let not_taken = NotTaken {
-        resting: gateway.cooling_down_endpoints(),
-        ..gateway.runs.take_not_taken(service)
+    let unavailable = UnavailableEngines {
+        cooling_down: gateway.cooling_down_endpoints(),
+        ..gateway.runs.take_unavailable_engines(service)
     };
     let own_name = &gateway.incarnation.name;
-    // Kept here too, for the time when no owner can be reached.
-    take_report(gateway, service, own_name, runs.clone(), &not_taken);
+    // Also kept in the local ledger for when the owner is unreachable.
+    apply_run_report(gateway, service, own_name, runs.clone(), &unavailable);
     let Some(address) = owner_address(gateway, service) else {
         return;
     };
@@ -77,16 +82,16 @@
         service: service.to_owned(),
         entry: own_name.clone(),
         runs: runs.iter().map(wire::Run::from).collect(),
-        refused: not_taken.refused.into_iter().collect(),
-        dead: not_taken.dead.into_iter().collect(),
-        resting: not_taken.resting.into_iter().collect(),
+        refused: unavailable.refused.into_iter().collect(),
+        dead: unavailable.gone.into_iter().collect(),
+        resting: unavailable.cooling_down.into_iter().collect(),
     };
-    let called = match gateway.peers.site_at(&address) {
+    let response = match gateway.peers.site_at(&address) {
         Ok(mut client) => within(REPORT_TIMEOUT, client.report_runs(report)).await,
         Err(status) => Err(status),
     };
-    note_owner(gateway, service, called.is_ok());
-    if let Err(status) = called
+    record_owner_call(gateway, service, response.is_ok());
+    if let Err(status) = response
         && crate::log::admits("report not taken")
     {
         warn!("report not taken", kv: { service, owner = address.as_str(), why = status.message() });
--- a/src/gateway/runs.rs
+++ b/src/gateway/runs.rs
@@ -1,4 +1,5 @@
-//! The generations that this instance serves: what their owner is told of them, and the way to reach each one.
+//! The generations that this instance serves: what is reported to their owner, and the command
+//! channel of each.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,68 +11,70 @@
 use crate::kernel::engine_ledger::{ReportedRun, RunDemand};
 use crate::kernel::fleet::EndpointEntry;
 
-/// Where a generation goes on once the engine that ran it has stopped it: the stream of that one closes by itself.
+/// Where a generation continues once the engine that ran it has stopped it; the stream of that
+/// engine closes by itself.
 #[derive(Debug, Clone)]
 pub(crate) struct Continuation {
-    /// Engine that runs it from now on.
+    /// Engine that runs the generation from now on.
     pub(crate) target: EndpointEntry,
-    /// Engine that the copy is named after.
+    /// Address of the engine that the copy is named after.
     pub(crate) copy_address: std::net::SocketAddr,
-    /// Name of the copy.
+    /// Name of the memory copy.
     pub(crate) copy: String,
-    /// Whether going on there was counted against the limit that the engine names.
+    /// Whether the continuation was counted against the rate limit that the engine announces.
     pub(crate) counted: bool,
 }
 
-/// What is told to the task that passes a generation on.
+/// Command to the task that forwards a generation.
 #[derive(Debug)]
 pub(crate) enum RunCommand {
-    /// Its engine is asked to stop it; its stream will close before the place to go on is known.
+    /// The engine is being asked to stop the generation; its stream will close before the
+    /// continuation is known.
     Stopping,
-    /// Where it goes on.
+    /// The generation continues at this engine.
     Continue(Box<Continuation>),
-    /// It was not stopped after all.
-    NotStopped,
+    /// The engine did not stop the generation.
+    StopFailed,
 }
 
-/// A generation served here.
+/// A generation that this instance serves.
 #[derive(Debug)]
 pub(crate) struct RunHandle {
     pub(crate) service: String,
     pub(crate) demand: RunDemand,
-    /// Engine that runs it.
+    /// Engine that runs the generation.
     pub(crate) endpoint: Mutex<EndpointEntry>,
-    pub(crate) made_tokens: AtomicU32,
+    pub(crate) generated_tokens: AtomicU32,
     pub(crate) commands: mpsc::UnboundedSender<RunCommand>,
 }
 
 impl RunHandle {
-    fn reported(&self) -> ReportedRun {
+    fn to_report(&self) -> ReportedRun {
         ReportedRun {
             demand: self.demand.clone(),
             endpoint: self.endpoint.lock().id.clone(),
-            made_tokens: self.made_tokens.load(Ordering::Relaxed),
+            made_tokens: self.generated_tokens.load(Ordering::Relaxed),
         }
     }
 }
 
-/// Engines that did not take a generation.
+/// Engines of a service that this instance found unavailable.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct NotTaken {
-    /// They refused as full, or could not be reached from here.
+pub(crate) struct UnavailableEngines {
+    /// Engines that refused as full or could not be reached from here.
     pub(crate) refused: BTreeSet<String>,
-    /// Nobody listens at their address.
-    pub(crate) dead: BTreeSet<String>,
-    /// They asked the entry for rest that is not over.
-    pub(crate) resting: BTreeSet<String>,
+    /// Engines whose address refuses connections or answers for another endpoint.
+    pub(crate) gone: BTreeSet<String>,
+    /// Engines in a cooldown towards the reporting instance.
+    pub(crate) cooling_down: BTreeSet<String>,
 }
 
-/// All generations served here.
+/// All generations that this instance serves.
 #[derive(Debug, Default)]
 pub(crate) struct RunRegistry {
     runs: Mutex<HashMap<String, Arc<RunHandle>>>,
-    /// Engines that did not take a generation since the last report, by service.
-    not_taken: Mutex<HashMap<String, NotTaken>>,
+    /// Engines found unavailable since the last report, by service.
+    unavailable: Mutex<HashMap<String, UnavailableEngines>>,
 }
 
 impl RunRegistry {
@@ -79,7 +82,7 @@
         self.runs.lock().insert(handle.demand.run.clone(), handle);
     }
 
-    /// Removes a generation, unless it was begun anew meanwhile.
+    /// Removes a generation unless it was restarted meanwhile.
     pub(crate) fn remove(&self, handle: &Arc<RunHandle>) {
         let mut runs = self.runs.lock();
         let name = &handle.demand.run;
@@ -95,40 +98,40 @@
         self.runs.lock().get(run).cloned()
     }
 
-    /// Services with generations here.
+    /// Returns the services of the running generations.
     pub(crate) fn services(&self) -> BTreeSet<String> {
         let runs = self.runs.lock();
         runs.values().map(|run| run.service.clone()).collect()
     }
 
-    /// Engines that run generations served here.
-    pub(crate) fn endpoints(&self) -> BTreeSet<String> {
+    /// Returns the engines that run the generations served here.
+    pub(crate) fn active_engines(&self) -> BTreeSet<String> {
         let runs = self.runs.lock();
-        let endpoints = runs.values().map(|run| run.endpoint.lock().id.clone());
-        endpoints.collect()
+        let active_engines = runs.values().map(|run| run.endpoint.lock().id.clone());
+        active_engines.collect()
     }
 
-    /// Generations of a service, as its owner is told.
-    pub(crate) fn of_service(&self, service: &str) -> Vec<ReportedRun> {
+    /// Returns the generations of a service in the form reported to its owner.
+    pub(crate) fn reported_runs(&self, service: &str) -> Vec<ReportedRun> {
         let runs = self.runs.lock();
         let runs = runs.values().filter(|run| run.service == service);
-        runs.map(|run| run.reported()).collect()
+        runs.map(|run| run.to_report()).collect()
     }
 
-    /// Notes an engine that did not take a generation.
-    pub(crate) fn note_not_taken(&self, service: &str, endpoint: &str, dead: bool) {
-        let mut not_taken = self.not_taken.lock();
-        let not_taken = not_taken.entry(service.to_owned()).or_default();
-        let engines = if dead {
-            &mut not_taken.dead
+    /// Records an engine that did not accept a generation.
+    pub(crate) fn record_unavailable_engine(&self, service: &str, endpoint: &str, is_gone: bool) {
+        let mut unavailable = self.unavailable.lock();
+        let unavailable = unavailable.entry(service.to_owned()).or_default();
+        let engines = if is_gone {
+            &mut unavailable.gone
         } else {
-            &mut not_taken.refused
+            &mut unavailable.refused
         };
         engines.insert(endpoint.to_owned());
     }
 
-    /// Takes the engines that did not take a generation since the last call.
-    pub(crate) fn take_not_taken(&self, service: &str) -> NotTaken {
-        self.not_taken.lock().remove(service).unwrap_or_default()
+    /// Takes the unavailable engines recorded since the last call.
+    pub(crate) fn take_unavailable_engines(&self, service: &str) -> UnavailableEngines {
+        self.unavailable.lock().remove(service).unwrap_or_default()
     }
 }
--- /dev/null
+++ b/src/gateway/started_generation.rs
@@ -0,0 +1,85 @@
+//! Generations that an engine has started to answer, and the record of their end.
+
+use std::sync::Arc;
+
+use spdlog::info;
+use tokio::sync::mpsc;
+
+use super::inbound_call::Call;
+use super::runs::{RunCommand, RunHandle};
+use super::upstream::EndpointResponse;
+use crate::kernel::clock::millis;
+use crate::kernel::event_split::EventSplitter;
+
+/// An engine's response and the splitter of its events.
+pub(crate) struct ResponseStream {
+    pub(crate) response: EndpointResponse,
+    pub(crate) splitter: EventSplitter,
+}
+
+impl ResponseStream {
+    pub(crate) fn new(response: EndpointResponse) -> Self {
+        Self {
+            response,
+            splitter: EventSplitter::default(),
+        }
+    }
+}
+
+/// Logs and counts the end of a generation.
+pub(crate) fn record_generation_end(
+    call: &Call,
+    outcome: &str,
+    reason: &str,
+    events: u32,
+    moves: u32,
+) {
+    metrics::counter!("larkwick_generations_total", "outcome" => outcome.to_owned()).increment(1);
+    metrics::histogram!("larkwick_generation_seconds").record(call.age().as_secs_f64());
+    if crate::log::admits("generation ended") {
+        info!("generation ended", kv: {
+            request_id = call.head.request_id.as_str(),
+            route = call.route.name.as_str(),
+            outcome, why = reason, events:, moves:,
+            config_version: = call.table.version(),
+            took_ms: = millis(call.age()),
+        });
+    }
+}
+
+/// A generation that an engine has started to answer.
+pub(crate) struct StartedGeneration {
+    pub(crate) source: ResponseStream,
+    pub(crate) run_guard: RunGuard,
+    pub(crate) commands: mpsc::UnboundedReceiver<RunCommand>,
+    /// The attempts so far, needed if the generation is restarted.
+    pub(crate) attempts: EngineAttempts,
+}
+
+/// The attempts to run one generation so far.
+#[derive(Debug, Default)]
+pub(crate) struct EngineAttempts {
+    /// Engines that are not tried again.
+    pub(crate) excluded: Vec<String>,
+    /// Number of requests that reached an engine, refused ones included.
+    pub(crate) sends: u32,
+    /// Number of engines that may have run the generation; at most one if the route's generations
+    /// are not resumable.
+    pub(crate) runs: u32,
+    /// Whether the request is a crash suspect and only endpoints with other software may run it.
+    pub(crate) restricted: bool,
+}
+
+/// Keeps a generation registered until it is dropped.
+pub(crate) struct RunGuard {
+    pub(crate) call: Arc<Call>,
+    pub(crate) run: Arc<RunHandle>,
+}
+
+impl Drop for RunGuard {
+    fn drop(&mut self) {
+        let gateway = &self.call.gateway;
+        gateway.runs.remove(&self.run);
+        gateway.ledgers.runs_changed.notify_one();
+    }
+}
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -1,5 +1,7 @@
-//! Generations whose engine goes on while nothing comes from it any more: a connection that is open may go silent for good. The engine is asked to stop
-//! the generation, and it goes on with its memory on a new connection. Without this it was cut at its caller's deadline, or when the caller left.
+//! Takes over generations that still run at an engine although their connection is dead. An open
+//! connection may stop delivering data for good. The engine is asked to stop the generation, which
+//! is resumed with its memory on a new connection. Without this, it was cut at its caller's
+//! deadline or when the caller left.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,125 +18,134 @@
 use crate::kernel::suspects::Verdict;
 use crate::platform::engine;
 
-/// An engine that has sent no event for this long is asked whether it has made some, and again after twice the time: a connection that has gone
-/// silent looks like a generation that waits for memory. Callers leave after two seconds of silence or more.
-const SILENT_AFTER: Duration = Duration::from_secs(1);
+/// Time without an event after which the engine is asked whether it has generated some; each
+/// further query waits twice as long. A dead connection looks the same as a generation that waits
+/// for memory. Callers leave after two or more seconds without an event.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for an engine's report.
-const REPORT_PATIENCE: Duration = Duration::from_millis(400);
-/// A generation goes back to an engine that stopped it for this long after the engine was heard to leave. Two seconds are allowed from
-/// when the first instance heard of it; the others hear within half a second.
-const SENT_AFTER_LEAVING_MAX: Duration = Duration::from_millis(1_300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long after the notice that an engine is leaving a generation is still resumed at that
+/// engine, if the engine stopped it. Two seconds are allowed from when the first instance learned
+/// of it; the others learn of it within half a second.
+const RESUME_AFTER_LEAVING_MAX: Duration = Duration::from_millis(1_300);
 
-/// What an engine says of a generation from which nothing comes.
+/// State of a generation with a stalled stream, as its engine reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AtEngine {
-    /// It has made events that did not come: the connection is dead.
-    GoesOnUnheard,
-    /// It has nothing to do with it any more.
+enum ReportedState {
+    /// The engine generated events that did not arrive: the connection is dead.
+    AheadOfStream,
+    /// The engine no longer has the generation.
     Done,
-    /// It waits there, or nothing is known.
+    /// The generation waits at the engine, or nothing is known.
     Unknown,
 }
 
-/// Asks an engine of a generation from which so many events came.
-async fn ask_engine(call: &Call, engine: &EndpointEntry, came: u64) -> AtEngine {
-    let report = engine_reports::read(&call.gateway, engine, REPORT_PATIENCE).await;
+/// Asks an engine for the state of a generation whose first `received_events` events have arrived.
+async fn query_state(call: &Call, engine: &EndpointEntry, received_events: u64) -> ReportedState {
+    let report = engine_reports::read_report(&call.gateway, engine, REPORT_TIMEOUT).await;
     let Some(report) = report else {
-        return AtEngine::Unknown;
+        return ReportedState::Unknown;
     };
     let request_id = &call.head.request_id;
-    if report.made(request_id).is_some_and(|made| made > came) {
-        AtEngine::GoesOnUnheard
+    if report
+        .made(request_id)
+        .is_some_and(|made| made > received_events)
+    {
+        ReportedState::AheadOfStream
     } else if report.is_done_with(request_id) {
-        AtEngine::Done
+        ReportedState::Done
     } else {
-        AtEngine::Unknown
+        ReportedState::Unknown
     }
 }
 
-/// The silence of the engine of one generation.
+/// Detects that the stream of a generation has stalled.
 #[derive(Debug)]
-pub(super) struct Silence {
-    /// When the engine is asked; counted from the last event or question.
-    pub(super) ask_after: Duration,
-    /// Whether the engine was done with it when it was asked before. What it sent last may still be on its way over a link that loses packets.
+pub(super) struct StallDetector {
+    /// Time until the engine is queried, counted from the last event or query.
+    pub(super) query_after: Duration,
+    /// Whether the engine was done with the generation at the previous query. Its last events may
+    /// still be in transit on a link that loses packets.
     was_done: bool,
 }
 
-impl Silence {
-    /// From the last event on.
-    pub(super) const fn from_now() -> Self {
+impl StallDetector {
+    /// Starts counting from the last event, which arrived just now.
+    pub(super) const fn start() -> Self {
         Self {
-            ask_after: SILENT_AFTER,
+            query_after: STALL_TIMEOUT,
             was_done: false,
         }
     }
 
-    /// Asks the engine; gives why its connection is given up, if it is. A caller whose generation ended unheard is told so within three seconds; three
-    /// of fourteen calls of a run with silent connections waited for their deadline of 20 s.
-    pub(super) async fn ask(
+    /// Queries the engine and returns why its connection is given up, if it is.
+    ///
+    /// The caller of a generation whose end was lost gets an error within three seconds. Without
+    /// this, three of fourteen calls of a run with dead connections waited for their 20 s deadline.
+    pub(super) async fn query_engine(
         &mut self,
         call: &Call,
         engine: &EndpointEntry,
-        came: u64,
+        received_events: u64,
     ) -> Option<&'static str> {
-        self.ask_after *= 2;
-        let at_engine = ask_engine(call, engine, came).await;
-        let was_done = std::mem::replace(&mut self.was_done, at_engine == AtEngine::Done);
-        match at_engine {
-            AtEngine::GoesOnUnheard => Some("the engine has made events that did not come"),
-            AtEngine::Done if was_done => {
+        self.query_after *= 2;
+        let state = query_state(call, engine, received_events).await;
+        let was_done = std::mem::replace(&mut self.was_done, state == ReportedState::Done);
+        match state {
+            ReportedState::AheadOfStream => Some("the engine has made events that did not come"),
+            ReportedState::Done if was_done => {
                 Some("the engine is done with it, and its end did not come")
             }
-            AtEngine::Done | AtEngine::Unknown => None,
+            ReportedState::Done | ReportedState::Unknown => None,
         }
     }
 }
 
-/// Has the engine of a generation stop it, if it still runs it, and gives where it goes on.
+/// Asks the engine of a generation to stop it, if it still runs, and returns its continuation.
 pub(super) async fn take_over(
     call: &Arc<Call>,
     run: &RunHandle,
-    why: &str,
+    reason: &str,
 ) -> Option<Continuation> {
     let source = run.endpoint.lock().clone();
-    if left_long_ago(call, &source) {
+    if has_left_too_long_ago(call, &source) {
         return None;
     }
     let gateway = &call.gateway;
-    let resting = gateway.cooling_down_endpoints();
+    let cooling_down = gateway.cooling_down_endpoints();
     let target = {
         let fleet = gateway.fleet.lock();
         let others = fleet.ready_endpoints(&call.service);
         let others =
-            others.filter(|engine| engine.id != source.id && !resting.contains(&engine.id));
+            others.filter(|engine| engine.id != source.id && !cooling_down.contains(&engine.id));
         others.choose(&mut rand::rng()).cloned()
     }?;
-    let taken = moves::stop(gateway, run, &source, &target, false).await;
+    let stopped = moves::stop_run(gateway, run, &source, &target, false).await;
     if crate::log::admits("generation taken over") {
-        let outcome = taken.as_ref().err().map_or("stopped", String::as_str);
+        let outcome = stopped.as_ref().err().map_or("stopped", String::as_str);
         info!("generation taken over", kv: {
-            request_id = call.head.request_id.as_str(), source = source.id.as_str(), why, outcome,
+            request_id = call.head.request_id.as_str(), source = source.id.as_str(), why = reason, outcome,
         });
     }
-    taken.ok()
+    stopped.ok()
 }
 
-/// Whether an engine has been leaving, or its hall evacuated, for so long that nothing may be sent to it any more.
-fn left_long_ago(call: &Call, endpoint: &EndpointEntry) -> bool {
+/// Returns whether an engine has been leaving, or its hall evacuated, for so long that nothing may
+/// be sent to it any more.
+fn has_left_too_long_ago(call: &Call, endpoint: &EndpointEntry) -> bool {
     let gateway = &call.gateway;
     let closed_for = gateway.fleet.lock().closed_for(&endpoint.id, gateway.now());
-    closed_for.is_some_and(|closed_for| closed_for > SENT_AFTER_LEAVING_MAX)
+    closed_for.is_some_and(|closed_for| closed_for > RESUME_AFTER_LEAVING_MAX)
 }
 
-/// Goes on with a generation where its memory is, after the last event that came.
+/// Resumes a generation at the engine that has its memory, after the last received event.
 pub(super) async fn resume(
     call: &Call,
     continuation: &Continuation,
     last_event_id: Option<&str>,
 ) -> Result<EndpointResponse, String> {
     let target = &continuation.target;
-    if left_long_ago(call, target) {
+    if has_left_too_long_ago(call, target) {
         return Err("the engine that has its memory left too long ago".to_owned());
     }
     if crash_suspects::current_verdict(call) == Verdict::Refused {
@@ -154,7 +165,7 @@
     let connection = upstream
         .acquire_connection(target, usize::MAX, ConnectionReuse::Never)
         .await;
-    let connection = connection.map_err(|none| none.to_string())?;
+    let connection = connection.map_err(|error| error.to_string())?;
     let send = EndpointRequestHead {
         endpoint_id: &target.listed_id,
         time_left: call.time_left(),
@@ -168,13 +179,13 @@
     };
     let request = engine::forward(&call.parts, call.body.clone(), &send);
     let request = request.map_err(|error| error.to_string())?;
-    let answer = connection.send(request, permit).await;
-    let answer = answer.map_err(|failure| failure.to_string())?;
-    if answer.parts.status != http::StatusCode::OK || !answer.head.sealed {
-        return Err(format!("engine answered {}", answer.head.status));
+    let response = connection.send(request, permit).await;
+    let response = response.map_err(|failure| failure.to_string())?;
+    if response.parts.status != http::StatusCode::OK || !response.head.sealed {
+        return Err(format!("engine answered {}", response.head.status));
     }
-    if answer.head.request_id.as_deref() != Some(call.head.request_id.as_str()) {
+    if response.head.request_id.as_deref() != Some(call.head.request_id.as_str()) {
         return Err("the answer belongs to another request".to_owned());
     }
-    Ok(answer)
+    Ok(response)
 }
