--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -191,7 +191,7 @@
     let permits = &gateway.words.permits;
     let limits_version = permits.limits_version();
     let limit_share = permits.names_any().then(|| gateway.sum_share(service));
-    let entries = {
+    let engines = {
         let fleet = gateway.fleet.lock();
         let engine_list_key = EngineListKey {
             config_version: table.version(),
@@ -233,7 +233,7 @@
         };
         all.map(listed).collect()
     };
-    shard.ledger.set_engines(entries);
+    shard.ledger.set_engines(engines);
     shard.ledger.sync_permits(gateway.now());
 }
 
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -60,10 +60,10 @@
     }
     let read = tokio::time::timeout(timeout, fetch_report(gateway, engine)).await;
     let read = read.unwrap_or_else(|_| Err("no answer in time".to_owned()));
-    if let Err(why) = &read
+    if let Err(reason) = &read
         && crate::log::admits("engine report not read")
     {
-        info!("engine report not read", kv: { endpoint = engine.id.as_str(), why = why.as_str() });
+        info!("engine report not read", kv: { endpoint = engine.id.as_str(), why = reason.as_str() });
     }
     read.ok()
 }
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -510,14 +510,10 @@
         Some(Err(SendError::NoPermit)) => return Err(AttemptFailure::RateLimited),
         Some(Err(SendError::MayHaveRun(reason))) => {
             aborted_requests::report(call, endpoint, Duration::ZERO).await;
-            return Err(lost_error(call, ErrorKind::EndpointLost, &reason));
+            return Err(lost_run(call, ErrorKind::EndpointLost, &reason));
         }
         None => {
-            return Err(lost_error(
-                call,
-                ErrorKind::AnswerTimeout,
-                "no event in time",
-            ));
+            return Err(lost_run(call, ErrorKind::AnswerTimeout, "no event in time"));
         }
     };
     if response
@@ -526,7 +522,7 @@
         .as_deref()
         .is_some_and(|id| id != demand.run)
     {
-        return Err(lost_error(
+        return Err(lost_run(
             call,
             ErrorKind::EndpointLost,
             "answer of another request",
@@ -539,10 +535,10 @@
             misdirected: response.head.misdirected,
         });
     }
-    let is_valid_response =
+    let is_valid =
         response.head.sealed && !response.head.encoded && response.head.request_id.is_some();
-    if response.parts.status.is_success() && !is_valid_response {
-        return Err(lost_error(
+    if response.parts.status.is_success() && !is_valid {
+        return Err(lost_run(
             call,
             ErrorKind::EndpointLost,
             "not the engine's own answer",
@@ -642,7 +638,8 @@
     }
 }
 
-fn lost_error(call: &Call, kind: ErrorKind, reason: &str) -> AttemptFailure {
+/// Returns the failure of an attempt whose generation may have run.
+fn lost_run(call: &Call, kind: ErrorKind, reason: &str) -> AttemptFailure {
     AttemptFailure::Lost(may_have_run_error(call, kind, reason))
 }
 
--- a/src/gateway/ownership.rs
+++ b/src/gateway/ownership.rs
@@ -20,12 +20,12 @@
 /// Returns the owner's address if the owner is another instance and reachable.
 pub(super) fn reachable_owner_address(gateway: &Gateway, service: &str) -> Option<String> {
     let address = owner_address(gateway, service)?;
-    let is_lost = gateway
+    let is_unreachable = gateway
         .ledgers
         .owners
         .lock()
         .is_lost(service, gateway.now());
-    (!is_lost).then_some(address)
+    (!is_unreachable).then_some(address)
 }
 
 /// Returns whether this instance decides on a service's engines, as their owner or alone because it
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -47,7 +47,7 @@
     is_stopping: bool,
     /// Where the generation continues once the stopped engine has closed its stream: the events
     /// generated before the stop must be read first.
-    pending: Option<Continuation>,
+    pending_continuation: Option<Continuation>,
     event_tokens: u32,
     events: u32,
     /// Arrival time of the first event from the current engine.
@@ -101,7 +101,7 @@
         commands: started.commands,
         source: Some(started.source),
         is_stopping: false,
-        pending: None,
+        pending_continuation: None,
         event_tokens,
         events: 0,
         first_event_at: None,
@@ -163,7 +163,7 @@
             return Step::Aborted("no engine stream to read from".to_owned());
         };
         let left = self.call.time_left();
-        let (timeout, on_timeout) = if self.pending.is_some() {
+        let (timeout, on_timeout) = if self.pending_continuation.is_some() {
             (STREAM_CLOSE_TIMEOUT, None)
         } else if self.stall_detector.query_after < left && !self.is_stopping {
             (self.stall_detector.query_after, Some(Step::Stalled))
@@ -264,7 +264,7 @@
                 Step::Pending
             }
             RunCommand::Continue(continuation) => {
-                self.pending = Some(*continuation);
+                self.pending_continuation = Some(*continuation);
                 Step::Pending
             }
         }
@@ -272,7 +272,7 @@
 
     /// Reports that the engine aborted the request, unless it was asked to stop it.
     async fn report_abort(&self) {
-        if self.is_stopping || self.pending.is_some() {
+        if self.is_stopping || self.pending_continuation.is_some() {
             return;
         }
         let endpoint = self.run_guard.run.endpoint.lock().clone();
@@ -285,7 +285,7 @@
     /// restart, take the generation over, or fail.
     async fn recover_from_abort(&mut self, reason: String) -> Step {
         self.source = None;
-        if let Some(continuation) = self.pending.take() {
+        if let Some(continuation) = self.pending_continuation.take() {
             return Step::Continue(Box::new(continuation));
         }
         while self.is_stopping {
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -40,7 +40,7 @@
             if !runs.is_empty() {
                 reported.insert(service.clone());
             }
-            report(&gateway, service, runs).await;
+            send_report(&gateway, service, runs).await;
         }
         tokio::select! {
             () = tokio::time::sleep(report_interval(&gateway)) => {}
@@ -67,7 +67,7 @@
         .min(REPORT_INTERVAL_MAX)
 }
 
-async fn report(gateway: &Gateway, service: &str, runs: Vec<ReportedRun>) {
+async fn send_report(gateway: &Gateway, service: &str, runs: Vec<ReportedRun>) {
     let unavailable = UnavailableEngines {
         cooling_down: gateway.cooling_down_endpoints(),
         ..gateway.runs.take_unavailable_engines(service)
