--- a/src/gateway/runs.rs
+++ b/src/gateway/runs.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Engines of a service that this instance found unavailable.
+/// Engines that this instance cannot use for now.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct UnavailableEngines {
     /// Engines that refused as full or could not be reached from here.
