--- a/src/gateway/ownership.rs
+++ b/src/gateway/ownership.rs
@@ -52,7 +52,7 @@
         .lock()
         .record_call(service, answered, now);
     if has_changed {
-        info!("owner reachability changed", kv: { service, answered: });
+        info!("owner", kv: { service, answered: });
         gateway.ledgers.wake_coordinator();
     }
 }
