--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -82,8 +82,8 @@
         Ok(granted) => granted,
         Err(status) => {
             record_owner_call(gateway, service, false);
-            if crate::log::admits("owner unreachable") {
-                warn!("owner unreachable; placing from the local ledger", kv: {
+            if crate::log::admits("owner not reached") {
+                warn!("owner not reached; placing alone", kv: {
                     request_id = demand.run.as_str(), service, owner = address.as_str(), why = status.message(),
                 });
             }
