--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -16,8 +16,8 @@
 use super::peers::SiteService;
 use super::site_store::{self, SiteStore, Subject};
 use super::{
-    coordinator, crash_suspects, endpoint_words, engine_reports, follow, heartbeat, operators,
-    run_reports, tally,
+    coordinator, crash_suspects, endpoint_words, engine_reports, heartbeat, operators, run_reports,
+    store_follower, tally,
 };
 use crate::daemon::app::metrics_handle;
 use crate::kernel::backoff::Backoff;
@@ -136,7 +136,7 @@
         let gateway = &self.gateway;
         let subjects = [Subject::Configuration, Subject::Endpoints, Subject::Members];
         for subject in subjects {
-            let run = follow::run(gateway.clone(), subject);
+            let run = store_follower::follow_subject(gateway.clone(), subject);
             self.tasks.push(tokio::spawn(run));
         }
         self.tasks
@@ -316,7 +316,7 @@
         tokio::time::sleep(SETTLE_EVERY).await;
         gateway.check_for_suspension();
         let changes = gateway.fleet.lock().expire_entries(gateway.now());
-        follow::tell_changes(&changes);
+        store_follower::log_fleet_changes(&changes);
         gateway.settle_halls();
         rounds = rounds.wrapping_add(1);
         if !rounds.is_multiple_of(SETTLES_A_TIDY) {
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -16,42 +16,42 @@
 use crate::peer::generated as wire;
 
 /// The usual path gets this long before a peer is asked: a reader passes a change on within 100 ms.
-const USUAL_PATH_WAIT: Duration = Duration::from_millis(250);
+const PRIMARY_PATH_WAIT: Duration = Duration::from_millis(250);
 /// How often it is looked whether the usual path is still at it.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for the head of a peer's answer.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A peer told that it has a newer version.
-pub(crate) fn heard_newer(gateway: &Arc<Gateway>, version: u64, address: String) {
-    let Some(turn) = gateway.catch_up.try_start() else {
+pub(crate) fn fetch_newer_config(gateway: &Arc<Gateway>, version: u64, address: String) {
+    let Some(guard) = gateway.catch_up.try_start() else {
         return;
     };
     let gateway = gateway.clone();
     tokio::spawn(async move {
-        usual_path(&gateway, version).await;
+        wait_for_primary_path(&gateway, version).await;
         if gateway.config_version() < version {
-            take_from(&gateway, &address).await;
+            fetch_and_apply(&gateway, &address).await;
         }
-        drop(turn);
+        drop(guard);
     });
 }
 
 /// Waits a moment for the usual path, and for as long as a configuration is on its way along it.
-async fn usual_path(gateway: &Gateway, version: u64) {
-    let until = gateway.now() + USUAL_PATH_WAIT;
+async fn wait_for_primary_path(gateway: &Gateway, version: u64) {
+    let deadline = gateway.now() + PRIMARY_PATH_WAIT;
     while gateway.config_version() < version
-        && (gateway.now() < until || gateway.store.is_receiving(Subject::Configuration))
+        && (gateway.now() < deadline || gateway.store.is_receiving(Subject::Configuration))
     {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn take_from(gateway: &Gateway, address: &str) {
-    let begun = gateway.now();
+async fn fetch_and_apply(gateway: &Gateway, address: &str) {
+    let started_at = gateway.now();
     match fetch(gateway, address).await {
         Ok(Some(config)) => {
-            let took_ms = millis(gateway.now().saturating_sub(begun));
+            let took_ms = millis(gateway.now().saturating_sub(started_at));
             info!("configuration taken from peer", kv: {
                 version: = config.version, peer = address, took_ms:,
             });
@@ -72,16 +72,16 @@
         .peers
         .fetch_routes(address, request, HEAD_TIMEOUT)
         .await?;
-    page.decode().map_err(|fault| fault.to_string())
+    page.decode().map_err(|error| error.to_string())
 }
 
 /// Answers a peer that asks for the configuration in force: nothing where it is no newer.
-pub(crate) fn give(
+pub(crate) fn encode_newer_config(
     gateway: &Gateway,
     request: wire::FetchRoutesRequest,
 ) -> Result<EncodedPage, tonic::Status> {
     let table = gateway.table();
     let newer = table.filter(|table| table.version() > request.config_version);
     let config = newer.as_ref().map(|table| table.config());
-    EncodedPage::encode(&config).map_err(|fault| tonic::Status::internal(fault.to_string()))
+    EncodedPage::encode(&config).map_err(|error| tonic::Status::internal(error.to_string()))
 }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -11,7 +11,7 @@
 use super::inbound_call::Call;
 use super::node::Gateway;
 use super::ownership::owner_address;
-use super::site_store::{KeptSuspect, SiteStore};
+use super::site_store::{SiteStore, StoredSuspect};
 use crate::error::{Error, ErrorKind};
 use crate::kernel::backoff::Backoff;
 use crate::kernel::content::ContentId;
@@ -221,8 +221,8 @@
     }
 
     /// Merges a suspect that the store holds.
-    pub(super) fn merge_stored_suspect(&self, kept: &KeptSuspect) {
-        let received = kept.told(self.clock.unix_time());
+    pub(super) fn merge_stored_suspect(&self, kept: &StoredSuspect) {
+        let received = kept.report_at(self.clock.unix_time());
         let change = {
             let mut suspects = self.suspects.lock();
             let change = suspects.take(&received, self.now());
@@ -297,13 +297,13 @@
         (suspects.to_keep(is_keeper, now), expired)
     };
     for suspect in unsaved {
-        let kept = KeptSuspect::new(suspect.clone(), gateway.clock.unix_time());
-        let written = gateway.store.keep_suspect(&kept).await;
+        let kept = StoredSuspect::new(suspect.clone(), gateway.clock.unix_time());
+        let written = gateway.store.store_suspect(&kept).await;
         written.map_err(|error| error.to_string())?;
         gateway.suspects.lock().kept(&suspect);
     }
     for fingerprint in expired.into_iter().filter(|_| is_keeper) {
-        let dropped = gateway.store.drop_suspect(fingerprint).await;
+        let dropped = gateway.store.delete_suspect(fingerprint).await;
         dropped.map_err(|error| error.to_string())?;
     }
     Ok(())
--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -68,7 +68,7 @@
         let ready: Vec<String> = ready.map(|endpoint| endpoint.id.clone()).collect();
         (no_endpoint_ready, ready)
     };
-    if no_endpoint_ready && gateway.store.is_store_away(Subject::Endpoints) {
+    if no_endpoint_ready && gateway.store.is_store_unavailable(Subject::Endpoints) {
         let until = now + LIST_OUTAGE_RETRY_AFTER;
         return Outlook::Closed { until };
     }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -7,11 +7,11 @@
 use spdlog::info;
 use tokio::sync::Notify;
 
-use super::follow::tell_changes;
 use super::heartbeat;
 use super::message_heads::ResponseHead;
 use super::node::Gateway;
 use super::permits::PermitDesk;
+use super::store_follower::log_fleet_changes;
 use crate::kernel::clock::{Clock, millis};
 use crate::kernel::fleet::{Fleet, FleetChange};
 use crate::kernel::limit::LimitWord;
@@ -96,7 +96,7 @@
 
     fn tell(&self, changes: &[FleetChange]) {
         metrics::counter!("larkwick_endpoints_told_leaving_total").increment(changes.len() as u64);
-        tell_changes(changes);
+        log_fleet_changes(changes);
         self.news.notify_one();
     }
 }
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -23,9 +23,9 @@
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     loop {
         tokio::time::sleep(ROUND_EVERY).await;
-        let age = gateway.store.word_age(Subject::Endpoints);
+        let age = gateway.store.data_age(Subject::Endpoints);
         let silent_after = gateway.routing.read().freshness().store_timeout();
-        let is_away = gateway.store.is_store_away(Subject::Endpoints);
+        let is_away = gateway.store.is_store_unavailable(Subject::Endpoints);
         if age.is_none_or(|age| age < silent_after && !is_away) {
             continue;
         }
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -111,7 +111,7 @@
         info!("member lives", kv: { member = name.as_str() });
     }
     if peer_version > gateway.config_version() {
-        catch_up::heard_newer(gateway, peer_version, address);
+        catch_up::fetch_newer_config(gateway, peer_version, address);
     }
     Ok(name)
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,7 +6,7 @@
 //! | `node` | the state of an instance, in shards |
 //! | `site_store` | the platform's store, as a trait with plug-ins |
 //! | `shared_store`, `subject_cache` | the store, read directly or through other instances |
-//! | `follow` | keeps configuration, endpoints and members in step with the store |
+//! | `store_follower` | keeps configuration, endpoints and members in step with the store |
 //! | `heartbeat` | which members live |
 //! | `live_members` | the view of the members that live, kept until it changes |
 //! | `listener` | connections of callers |
@@ -40,7 +40,6 @@
 pub(crate) mod endpoint_selection;
 pub(crate) mod endpoint_words;
 pub(crate) mod engine_reports;
-pub(crate) mod follow;
 pub(crate) mod generation;
 pub(crate) mod halls;
 pub(crate) mod heartbeat;
@@ -66,6 +65,7 @@
 pub(crate) mod shared_store;
 pub mod site_store;
 pub(crate) mod started;
+pub(crate) mod store_follower;
 pub(crate) mod subject_cache;
 pub(crate) mod suspend_aware_waits;
 pub(crate) mod takeover;
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -387,7 +387,7 @@
     /// Takes a repeat from the budget of a service.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         // Who does not know the members does not know its part.
-        let knows_members = !self.store.knows_nothing(Subject::Members);
+        let knows_members = !self.store.has_no_data(Subject::Members);
         let taken = knows_members && self.with_budget(service, RetryBudget::take_retry);
         metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
         taken
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -66,7 +66,7 @@
         &self,
         request: Request<wire::FetchRoutesRequest>,
     ) -> Result<Response<PartStream>, Status> {
-        let page = catch_up::give(&self.gateway, request.into_inner())?;
+        let page = catch_up::encode_newer_config(&self.gateway, request.into_inner())?;
         Ok(Response::new(in_parts(wire::PageHead::default(), &page)))
     }
 
@@ -77,7 +77,11 @@
         request: Request<wire::ReadSiteRequest>,
     ) -> Result<Response<PartStream>, Status> {
         self.gateway.tally.count(Work::PassedOn);
-        let (head, page) = self.gateway.store.pass_on(request.get_ref()).await?;
+        let (head, page) = self
+            .gateway
+            .store
+            .serve_peer_read(request.get_ref())
+            .await?;
         Ok(Response::new(in_parts(head, &page)))
     }
 
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -298,7 +298,7 @@
     /// What of a bound on all instances this one may use, as the giver for a key, or alone.
     pub(super) fn sum_share(&self, key: &str) -> SumShare {
         let of = self.instances_sharing();
-        let lending = if self.store.knows_nothing(Subject::Members) {
+        let lending = if self.store.has_no_data(Subject::Members) {
             0
         } else if owner_address(self, key).is_none() {
             self.instances_live()
--- a/src/gateway/shared_store/pass_on.rs
+++ b/src/gateway/shared_store/peer_reads.rs
@@ -10,10 +10,10 @@
 use crate::peer::generated as wire;
 
 /// That the store came back from an outage is told for this long.
-const REGAINED_TOLD: Duration = Duration::from_secs(5);
+const RECOVERY_REPORTED_FOR: Duration = Duration::from_secs(5);
 impl SharedStore {
     /// Answers another instance from what is known here; waits for news as it asks.
-    pub(crate) async fn pass_on(
+    pub(crate) async fn serve_peer_read(
         &self,
         request: &wire::ReadSiteRequest,
     ) -> Result<(wire::PageHead, EncodedPage), tonic::Status> {
@@ -22,43 +22,43 @@
             .find(|subject| subject.name() == request.subject)
             .ok_or_else(|| tonic::Status::invalid_argument("unknown subject"))?;
         let shard = self.shard(subject);
-        let wait = Duration::from_millis(request.wait_ms).min(self.peer_wait(subject));
-        let until = self.clock.now() + wait;
-        let was_away = self.is_store_away(subject);
+        let wait = Duration::from_millis(request.wait_ms).min(self.peer_poll_wait(subject));
+        let deadline = self.clock.now() + wait;
+        let was_unavailable = self.is_store_unavailable(subject);
         let from = Position::new(request.from_era, request.from_offset);
         loop {
-            let added = shard.added.notified();
-            let has_news = {
+            let changed = shard.changed.notified();
+            let has_update = {
                 let cache = shard.cache.lock();
-                let has_words = request.whole && cache.word_at.is_some();
-                has_words || cache.next > from
+                let can_send_full = request.whole && cache.last_confirmed_at.is_some();
+                can_send_full || cache.next > from
             };
-            let has_news = has_news || (!was_away && self.is_store_away(subject));
-            let left = until.saturating_sub(self.clock.now());
-            if has_news || tokio::time::timeout(left, added).await.is_err() {
-                return self.page_for(subject, from, request);
+            let has_update = has_update || (!was_unavailable && self.is_store_unavailable(subject));
+            let remaining = deadline.saturating_sub(self.clock.now());
+            if has_update || tokio::time::timeout(remaining, changed).await.is_err() {
+                return self.page_for_peer(subject, from, request);
             }
         }
     }
 
-    fn page_for(
+    fn page_for_peer(
         &self,
         subject: Subject,
         from: Position,
         request: &wire::ReadSiteRequest,
     ) -> Result<(wire::PageHead, EncodedPage), tonic::Status> {
         let now = self.clock.now();
-        let regained_at = self.regained_at(subject);
-        let regained_ago = regained_at.map(|at| now.saturating_sub(at));
-        let regained_ago = regained_ago.filter(|ago| *ago < REGAINED_TOLD);
-        let failed_ago = self.shard(subject).contact.lock().time_since_failure(now);
-        let failed_ago = failed_ago.filter(|_| self.is_store_away(subject));
+        let recovered_at = self.recovered_at(subject);
+        let since_recovery = recovered_at.map(|at| now.saturating_sub(at));
+        let since_recovery = since_recovery.filter(|ago| *ago < RECOVERY_REPORTED_FOR);
+        let since_failure = self.shard(subject).contact.lock().time_since_failure(now);
+        let since_failure = since_failure.filter(|_| self.is_store_unavailable(subject));
         let mut cache = self.shard(subject).cache.lock();
-        let word_at = cache
-            .word_at
+        let last_confirmed_at = cache
+            .last_confirmed_at
             .ok_or_else(|| tonic::Status::unavailable("nothing known yet"))?;
-        let age = now.saturating_sub(word_at);
-        if age > self.age_max(subject) && !request.any_age {
+        let age = now.saturating_sub(last_confirmed_at);
+        if age > self.peer_age_max(subject) && !request.any_age {
             return Err(tonic::Status::unavailable(
                 "the store was not heard of late",
             ));
@@ -71,7 +71,7 @@
             ));
         }
         let page = if request.whole {
-            cache.encoded_whole()
+            cache.encoded_full()
         } else {
             cache.encoded_since(from)
         };
@@ -81,9 +81,9 @@
             next_offset: next.offset(),
             era: next.era(),
             age_ms: millis(age),
-            regained_ms_ago: regained_ago.map_or(0, |ago| millis(ago).max(1)),
+            regained_ms_ago: since_recovery.map_or(0, |ago| millis(ago).max(1)),
             compressed: page.compressed,
-            store_failed_ms_ago: failed_ago.map_or(0, |ago| millis(ago).max(1)),
+            store_failed_ms_ago: since_failure.map_or(0, |ago| millis(ago).max(1)),
         };
         Ok((head, page))
     }
--- a/src/gateway/site_store.rs
+++ b/src/gateway/site_store.rs
@@ -69,36 +69,37 @@
 
 /// A content that endpoints ended under, as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptSuspect {
+pub struct StoredSuspect {
     /// What was known of it.
-    told: Told,
+    #[serde(rename = "told")]
+    report: Told,
     /// When, in milliseconds since 1970.
     at_unix_ms: u64,
 }
 
-impl KeptSuspect {
+impl StoredSuspect {
     /// What is known of a content at this time of day.
     #[must_use]
-    pub fn new(told: Told, unix_time: Duration) -> Self {
+    pub fn new(report: Told, unix_time: Duration) -> Self {
         Self {
-            told,
+            report,
             at_unix_ms: millis(unix_time),
         }
     }
 
     /// The content.
     #[must_use]
-    pub fn content(&self) -> ContentId {
-        self.told.content
+    pub fn fingerprint(&self) -> ContentId {
+        self.report.content
     }
 
     /// The same, as it is told at this time of day.
     #[must_use]
-    pub fn told(&self, unix_time: Duration) -> Told {
-        let kept_for = unix_time.saturating_sub(Duration::from_millis(self.at_unix_ms));
+    pub fn report_at(&self, unix_time: Duration) -> Told {
+        let stored_for = unix_time.saturating_sub(Duration::from_millis(self.at_unix_ms));
         Told {
-            last_end_ago: self.told.last_end_ago.saturating_add(kept_for),
-            ..self.told.clone()
+            last_end_ago: self.report.last_end_ago.saturating_add(stored_for),
+            ..self.report.clone()
         }
     }
 }
@@ -119,7 +120,7 @@
     /// A member's entry.
     Member(MemberEntry),
     /// A content that endpoints ended under.
-    Suspect(KeptSuspect),
+    Suspect(StoredSuspect),
     /// A content is kept no more.
     SuspectGone(ContentId),
     /// A record that cannot be read.
@@ -157,7 +158,7 @@
     },
     /// The store has come back from an older copy since: the records under the offset asked for are others.
     #[error("the store came back from an older copy; its era is {era} now")]
-    AnotherEra {
+    EraChanged {
         /// The era now.
         era: u64,
     },
@@ -173,16 +174,16 @@
 #[async_trait]
 pub trait SiteStore: Send + Sync {
     /// The newest record of each key.
-    async fn newest(&self, subject: Subject) -> StoreResult<SitePage>;
+    async fn read_latest(&self, subject: Subject) -> StoreResult<SitePage>;
     /// Records from a place on; waits up to `wait` for the first one.
     async fn read(&self, subject: Subject, from: Position, wait: Duration)
     -> StoreResult<SitePage>;
     /// Writes this instance's own entry.
     async fn announce(&self, member: &MemberEntry) -> StoreResult<()>;
     /// Keeps a content that endpoints ended under, in place of what was kept of it.
-    async fn keep_suspect(&self, suspect: &KeptSuspect) -> StoreResult<()>;
+    async fn store_suspect(&self, suspect: &StoredSuspect) -> StoreResult<()>;
     /// Drops what is kept of a content.
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()>;
+    async fn delete_suspect(&self, fingerprint: ContentId) -> StoreResult<()>;
 }
 
 /// A registered way to reach a store.
--- a/src/gateway/follow.rs
+++ b/src/gateway/store_follower.rs
@@ -17,21 +17,21 @@
 use crate::kernel::position::Position;
 
 /// First pause after a failed call.
-const PAUSE_MIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE_MIN: Duration = Duration::from_millis(100);
 /// Longest pause: when the store is back, readers hear of it within this time and the others within twice that, so that all have caught
 /// up well before the shortest span after which they are held to it, three seconds.
-const PAUSE_MAX: Duration = Duration::from_millis(600);
+const RETRY_PAUSE_MAX: Duration = Duration::from_millis(600);
 /// Longest pause while nothing is known of a subject: callers are waiting, and the reads before it took half a second in an outage.
-const PAUSE_UNKNOWN: Duration = Duration::from_millis(50);
+const PAUSE_WITHOUT_DATA_MAX: Duration = Duration::from_millis(50);
 
 /// A site that starts as a whole knows its members after about this long.
-const MEMBERS_MET_WITHIN: Duration = Duration::from_millis(300);
+const MEMBERS_WAIT_MAX: Duration = Duration::from_millis(300);
 /// A store that answers has told the members within this time; after it, a member that was heard is enough.
-const MEMBERS_LISTED_WITHIN: Duration = Duration::from_millis(60);
+const MEMBERS_LIST_WAIT: Duration = Duration::from_millis(60);
 
 /// After news, a read waits this long for what comes with it: endpoints leave several at a time, and a site starts as a whole. One read
 /// is one call to the store for each reader.
-const fn gather(subject: Subject) -> Duration {
+const fn batching_delay(subject: Subject) -> Duration {
     match subject {
         Subject::Configuration => Duration::ZERO,
         // Little of the 1.5 s that engines give notice.
@@ -41,24 +41,24 @@
 }
 
 /// Whether the store answers for a subject, and since when it does not.
-struct Contact {
+struct StoreStatus {
     subject: Subject,
-    lost_since: Option<Duration>,
+    unavailable_since: Option<Duration>,
     pause: Backoff,
 }
 
-impl Contact {
+impl StoreStatus {
     fn new(subject: Subject) -> Self {
         Self {
             subject,
-            lost_since: None,
-            pause: Backoff::new(PAUSE_MIN, PAUSE_MAX),
+            unavailable_since: None,
+            pause: Backoff::new(RETRY_PAUSE_MIN, RETRY_PAUSE_MAX),
         }
     }
 
-    fn answered(&mut self, gateway: &Gateway) {
+    fn record_success(&mut self, gateway: &Gateway) {
         self.pause.succeeded();
-        let Some(since) = self.lost_since.take() else {
+        let Some(since) = self.unavailable_since.take() else {
             return;
         };
         let now = gateway.now();
@@ -66,18 +66,18 @@
         info!("store regained", kv: { subject = self.subject.name(), away_ms: });
     }
 
-    async fn failed(&mut self, gateway: &Gateway, error: &StoreError) {
+    async fn pause_after_failure(&mut self, gateway: &Gateway, error: &StoreError) {
         metrics::counter!("larkwick_store_failures_total").increment(1);
-        if self.lost_since.is_none() {
-            self.lost_since = Some(gateway.now());
+        if self.unavailable_since.is_none() {
+            self.unavailable_since = Some(gateway.now());
             warn!("store lost", kv: { subject = self.subject.name(), why: = error });
         }
         let pause = self.pause.failed(rand::rng().random_range(0.0..1.0));
-        let knows_nothing = gateway.store.knows_nothing(self.subject);
-        let pause_max = if knows_nothing {
-            PAUSE_UNKNOWN
+        let has_no_data = gateway.store.has_no_data(self.subject);
+        let pause_max = if has_no_data {
+            PAUSE_WITHOUT_DATA_MAX
         } else {
-            PAUSE_MAX
+            RETRY_PAUSE_MAX
         };
         tokio::time::sleep(pause.min(pause_max)).await;
     }
@@ -85,97 +85,97 @@
 
 /// Waits a moment for the list of the members, or in an outage of the store for a first one that lives: what they know need not be read at
 /// the store. An instance that has met one member only takes itself for a reader, and so would each of hundreds that start together.
-async fn members_met(gateway: &Gateway) {
-    const CHECK_EVERY: Duration = Duration::from_millis(15);
-    let begun = gateway.now();
+async fn wait_for_members(gateway: &Gateway) {
+    const CHECK_INTERVAL: Duration = Duration::from_millis(15);
+    let started_at = gateway.now();
     loop {
-        let waited = gateway.now().saturating_sub(begun);
-        let is_listed = !gateway.store.knows_nothing(Subject::Members);
-        let has_met = waited >= MEMBERS_LISTED_WITHIN && gateway.instances_live() >= 2;
-        if is_listed || has_met || waited >= MEMBERS_MET_WITHIN {
+        let waited = gateway.now().saturating_sub(started_at);
+        let is_listed = !gateway.store.has_no_data(Subject::Members);
+        let has_met_member = waited >= MEMBERS_LIST_WAIT && gateway.instances_live() >= 2;
+        if is_listed || has_met_member || waited >= MEMBERS_WAIT_MAX {
             return;
         }
-        tokio::time::sleep(CHECK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
 /// Follows a subject for the life of the instance.
-pub(crate) async fn run(gateway: Arc<Gateway>, subject: Subject) {
+pub(crate) async fn follow_subject(gateway: Arc<Gateway>, subject: Subject) {
     if subject != Subject::Members {
-        members_met(&gateway).await;
+        wait_for_members(&gateway).await;
     }
-    let mut contact = Contact::new(subject);
+    let mut status = StoreStatus::new(subject);
     loop {
-        match gateway.store.newest(subject).await {
+        match gateway.store.read_latest(subject).await {
             Ok(page) => {
-                contact.answered(&gateway);
+                status.record_success(&gateway);
                 let next = page.next;
-                take_newest(&gateway, subject, page);
-                follow_from(&gateway, &mut contact, next).await;
+                apply_latest(&gateway, subject, page);
+                follow_from(&gateway, &mut status, next).await;
             }
-            Err(error) => contact.failed(&gateway, &error).await,
+            Err(error) => status.pause_after_failure(&gateway, &error).await,
         }
     }
 }
 
 /// Reads on until records have expired or an answer cannot be read.
-async fn follow_from(gateway: &Gateway, contact: &mut Contact, mut from: Position) {
-    let subject = contact.subject;
+async fn follow_from(gateway: &Gateway, status: &mut StoreStatus, mut from: Position) {
+    let subject = status.subject;
     loop {
         // An answer without news shows that the store is there; after a failure, one that waits for news would not.
-        let wait = if contact.lost_since.is_some() {
+        let wait = if status.unavailable_since.is_some() {
             Duration::ZERO
         } else {
-            gateway.store.wait(subject)
+            gateway.store.poll_wait(subject)
         };
         match gateway.store.read(subject, from, wait).await {
             Ok(page) => {
-                contact.answered(gateway);
-                let is_news = page.next > from;
+                status.record_success(gateway);
+                let has_new_records = page.next > from;
                 from = page.next;
-                take_records(gateway, subject, page.records);
-                if is_news {
-                    tokio::time::sleep(gather(subject)).await;
+                apply_records(gateway, subject, page.records);
+                if has_new_records {
+                    tokio::time::sleep(batching_delay(subject)).await;
                 }
             }
             // Noted where it was found.
-            Err(StoreError::AnotherEra { .. }) => return,
+            Err(StoreError::EraChanged { .. }) => return,
             Err(error @ (StoreError::Expired { .. } | StoreError::Malformed(_))) => {
                 warn!("records cannot be followed; reading the newest", kv: {
                     subject = subject.name(), from: = from, why: = error,
                 });
-                contact.failed(gateway, &error).await;
+                status.pause_after_failure(gateway, &error).await;
                 return;
             }
-            Err(error) => contact.failed(gateway, &error).await,
+            Err(error) => status.pause_after_failure(gateway, &error).await,
         }
     }
 }
 
-fn take_newest(gateway: &Arc<Gateway>, subject: Subject, page: SitePage) {
+fn apply_latest(gateway: &Arc<Gateway>, subject: Subject, page: SitePage) {
     if subject != Subject::Endpoints {
         if subject == Subject::Members {
-            look_for_own_records(gateway, &page);
+            rewrite_missing_own_records(gateway, &page);
         }
-        take_records(gateway, subject, page.records);
+        apply_records(gateway, subject, page.records);
         if subject == Subject::Members {
             heartbeat::beat_round(gateway);
         }
         return;
     }
-    let mut news = ListUpdate::default();
+    let mut update = ListUpdate::default();
     for record in page.records {
-        take_list_record(gateway, &mut news, record);
+        collect_list_record(gateway, &mut update, record);
     }
-    note_regained(gateway);
-    let changes = gateway.fleet.lock().apply_full_list(news, gateway.now());
+    record_list_recovery(gateway);
+    let changes = gateway.fleet.lock().apply_full_list(update, gateway.now());
     gateway.fleet_read();
-    tell_changes(&changes);
+    log_fleet_changes(&changes);
 }
 
 /// Has what this instance wrote written again where the store holds it no more since it came back from an older copy. Within an era nothing is lost, and
 /// a list may be older than what was written.
-fn look_for_own_records(gateway: &Gateway, page: &SitePage) {
+fn rewrite_missing_own_records(gateway: &Gateway, page: &SitePage) {
     let era = page.next.era();
     let before = gateway.own_records_era.lock().replace(era);
     if before.is_none_or(|before| before >= era) {
@@ -190,54 +190,54 @@
     if !records.iter().any(is_own) {
         gateway.entry_lost.notify_one();
     }
-    let kept = records.iter().filter_map(|record| match record {
-        SiteRecord::Suspect(kept) => Some(kept.content()),
+    let stored = records.iter().filter_map(|record| match record {
+        SiteRecord::Suspect(stored) => Some(stored.fingerprint()),
         _ => None,
     });
-    let kept: BTreeSet<ContentId> = kept.collect();
-    if gateway.suspects.lock().keep_only(&kept) {
+    let stored: BTreeSet<ContentId> = stored.collect();
+    if gateway.suspects.lock().keep_only(&stored) {
         gateway.suspects_changed.notify_one();
     }
 }
 
 /// Adds a record of the list to the news; a later word on an endpoint takes the place of an earlier one.
-fn take_list_record(gateway: &Gateway, news: &mut ListUpdate, record: SiteRecord) {
+fn collect_list_record(gateway: &Gateway, update: &mut ListUpdate, record: SiteRecord) {
     match record {
-        SiteRecord::Endpoint(entry) => news.add_entry(entry),
-        SiteRecord::EndpointGone(listed_id) => news.add_vanished(listed_id),
+        SiteRecord::Endpoint(entry) => update.add_entry(entry),
+        SiteRecord::EndpointGone(listed_id) => update.add_vanished(listed_id),
         SiteRecord::Unreadable { key, why } => {
-            tell_unreadable("entry not read; its endpoint is not used", &key, &why);
-            news.add_unreadable(key);
+            log_unreadable("entry not read; its endpoint is not used", &key, &why);
+            update.add_unreadable(key);
         }
-        other => take_other(gateway, other),
+        other => apply_record(gateway, other),
     }
 }
 
 /// Entries that are missing right after an outage of the list may come back.
-fn note_regained(gateway: &Gateway) {
-    if let Some(at) = gateway.store.regained_at(Subject::Endpoints) {
+fn record_list_recovery(gateway: &Gateway) {
+    if let Some(at) = gateway.store.recovered_at(Subject::Endpoints) {
         gateway.fleet.lock().record_list_recovery(at);
     }
 }
 
-fn take_records(gateway: &Gateway, subject: Subject, records: Vec<SiteRecord>) {
+fn apply_records(gateway: &Gateway, subject: Subject, records: Vec<SiteRecord>) {
     if subject == Subject::Endpoints {
-        take_list_records(gateway, records);
+        apply_endpoint_records(gateway, records);
         return;
     }
     for record in records {
-        take_other(gateway, record);
+        apply_record(gateway, record);
     }
 }
 
-fn take_list_records(gateway: &Gateway, records: Vec<SiteRecord>) {
-    let mut news = ListUpdate::default();
+fn apply_endpoint_records(gateway: &Gateway, records: Vec<SiteRecord>) {
+    let mut update = ListUpdate::default();
     for record in records {
-        take_list_record(gateway, &mut news, record);
+        collect_list_record(gateway, &mut update, record);
     }
-    note_regained(gateway);
-    let changes = gateway.fleet.lock().apply_update(news, gateway.now());
-    tell_changes(&changes);
+    record_list_recovery(gateway);
+    let changes = gateway.fleet.lock().apply_update(update, gateway.now());
+    log_fleet_changes(&changes);
     gateway.ledgers.wake();
     let mut changes = changes.iter();
     if changes.any(|change| matches!(change, FleetChange::Left(_))) {
@@ -246,25 +246,25 @@
     }
 }
 
-fn take_other(gateway: &Gateway, record: SiteRecord) {
+fn apply_record(gateway: &Gateway, record: SiteRecord) {
     match record {
         SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
         SiteRecord::Member(entry) => take_member(gateway, entry),
-        SiteRecord::Suspect(kept) => gateway.merge_stored_suspect(&kept),
-        SiteRecord::SuspectGone(content) => gateway.suspects.lock().not_kept(content),
+        SiteRecord::Suspect(stored) => gateway.merge_stored_suspect(&stored),
+        SiteRecord::SuspectGone(fingerprint) => gateway.suspects.lock().not_kept(fingerprint),
         SiteRecord::HallOrder(order) => gateway.order_hall(&order),
-        SiteRecord::EvacuatedHalls(told) => gateway.take_halls(&told, "store"),
+        SiteRecord::EvacuatedHalls(halls) => gateway.take_halls(&halls, "store"),
         SiteRecord::Unreadable { key, why } => {
-            tell_unreadable("record not read; what was known stays", &key, &why);
+            log_unreadable("record not read; what was known stays", &key, &why);
         }
         SiteRecord::Endpoint(_) | SiteRecord::EndpointGone(_) => {}
     }
 }
 
-fn tell_unreadable(what: &'static str, key: &str, why: &str) {
+fn log_unreadable(message: &'static str, key: &str, why: &str) {
     metrics::counter!("larkwick_records_unreadable_total").increment(1);
-    if crate::log::admits(what) {
-        warn!("{}", what, kv: { key, why });
+    if crate::log::admits(message) {
+        warn!("{}", message, kv: { key, why });
     }
 }
 
@@ -295,13 +295,13 @@
 }
 
 /// Logs what changed in the fleet.
-pub(crate) fn tell_changes(changes: &[FleetChange]) {
+pub(crate) fn log_fleet_changes(changes: &[FleetChange]) {
     for change in changes {
-        let (what, entry) = match change {
+        let (message, entry) = match change {
             FleetChange::Joined(entry) => ("endpoint joined", entry),
             FleetChange::Left(entry) => ("endpoint leaving", entry),
         };
-        info!("{}", what, kv: {
+        info!("{}", message, kv: {
             endpoint = entry.id.as_str(), service = entry.service.as_str(), address: = entry.address,
         });
     }
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -13,50 +13,50 @@
 use crate::kernel::route::RouteConfig;
 
 /// Records of a subject that are kept for others to read on from.
-const KEPT_RECORDS: usize = 512;
+const RECENT_RECORDS_MAX: usize = 512;
 /// What is known of a subject.
 #[derive(Debug)]
 pub(super) struct SubjectCache {
     subject: Subject,
     /// Newest record of each key; empty before the first answer.
-    newest: BTreeMap<String, SiteRecord>,
+    latest: BTreeMap<String, SiteRecord>,
     /// The last records, the newest last; the first one stands their number before `next`. Empty for the configuration, of
     /// which only the newest record counts: each one may have a megabyte.
-    recent: VecDeque<SiteRecord>,
+    recent_records: VecDeque<SiteRecord>,
     /// The halls that are evacuated; told with every page of the operator's subject, since they are few and short.
     evacuated: EvacuatedHalls,
     /// Who has read to here has the newest configuration.
-    config_in_by: Position,
+    config_position: Position,
     /// Place of the next record.
     pub(super) next: Position,
     /// When the store last said something, by this instance's clock.
-    pub(super) word_at: Option<Duration>,
+    pub(super) last_confirmed_at: Option<Duration>,
     /// The last page that was encoded for others, which most of them ask for, and its first place.
     encoded: Option<(Position, EncodedPage)>,
     /// The newest records, encoded for others.
-    encoded_whole: Option<EncodedPage>,
+    encoded_full: Option<EncodedPage>,
 }
 
 impl SubjectCache {
     pub(super) fn new(subject: Subject) -> Self {
         Self {
             subject,
-            newest: BTreeMap::new(),
-            recent: VecDeque::new(),
+            latest: BTreeMap::new(),
+            recent_records: VecDeque::new(),
             evacuated: EvacuatedHalls::default(),
-            config_in_by: Position::default(),
+            config_position: Position::default(),
             next: Position::default(),
-            word_at: None,
+            last_confirmed_at: None,
             encoded: None,
-            encoded_whole: None,
+            encoded_full: None,
         }
     }
 
     /// Keeps a record as the newest of its key; the page that it came in ends at a place.
-    fn put_newest(&mut self, record: &SiteRecord, page_end: Position) {
+    fn apply_record(&mut self, record: &SiteRecord, page_end: Position) {
         let key = match record {
-            SiteRecord::EvacuatedHalls(told) => {
-                self.evacuated.replace_if_older(told);
+            SiteRecord::EvacuatedHalls(halls) => {
+                self.evacuated.replace_if_older(halls);
                 return;
             }
             SiteRecord::HallOrder(order) => {
@@ -64,79 +64,79 @@
                 return;
             }
             SiteRecord::EndpointGone(listed_id) => {
-                self.newest.remove(listed_id);
+                self.latest.remove(listed_id);
                 return;
             }
             SiteRecord::Configuration(config) => {
-                self.config_in_by = page_end;
-                if self.is_older(config) {
+                self.config_position = page_end;
+                if self.is_older_than_cached(config) {
                     return;
                 }
                 String::new()
             }
             SiteRecord::Endpoint(entry) => entry.listed_id.clone(),
             SiteRecord::Member(entry) => entry.name.clone(),
-            SiteRecord::Suspect(kept) => suspect_key(kept.content()),
-            SiteRecord::SuspectGone(content) => {
-                self.newest.remove(&suspect_key(*content));
+            SiteRecord::Suspect(stored) => suspect_key(stored.fingerprint()),
+            SiteRecord::SuspectGone(fingerprint) => {
+                self.latest.remove(&suspect_key(*fingerprint));
                 return;
             }
             // Whoever reads the list here must not use what the entry before said.
             SiteRecord::Unreadable { key, .. } if self.subject == Subject::Endpoints => key.clone(),
             SiteRecord::Unreadable { .. } => return,
         };
-        self.newest.insert(key, record.clone());
+        self.latest.insert(key, record.clone());
     }
 
-    pub(super) fn replace(&mut self, page: &SitePage, word_at: Duration) {
+    pub(super) fn replace(&mut self, page: &SitePage, last_confirmed_at: Duration) {
         // A copy from which the store has come back may have an older configuration; it is never told on.
-        self.newest
+        self.latest
             .retain(|_, record| matches!(record, SiteRecord::Configuration(_)));
-        self.recent.clear();
-        self.forget_encoded();
+        self.recent_records.clear();
+        self.invalidate_encoded();
         for record in &page.records {
-            self.put_newest(record, page.next);
+            self.apply_record(record, page.next);
         }
         self.next = page.next;
-        self.word_at = Some(word_at);
+        self.last_confirmed_at = Some(last_confirmed_at);
     }
 
     /// Whether a configuration is older than the one kept.
-    fn is_older(&self, config: &RouteConfig) -> bool {
-        let kept = self.newest.get("");
-        kept.is_some_and(|kept| match kept {
-            SiteRecord::Configuration(kept) => kept.version > config.version,
+    fn is_older_than_cached(&self, config: &RouteConfig) -> bool {
+        let cached = self.latest.get("");
+        cached.is_some_and(|cached| match cached {
+            SiteRecord::Configuration(cached) => cached.version > config.version,
             _ => false,
         })
     }
 
-    pub(super) fn extend(&mut self, from: Position, page: &SitePage, word_at: Duration) {
-        self.word_at = self.word_at.max(Some(word_at));
+    pub(super) fn extend(&mut self, from: Position, page: &SitePage, last_confirmed_at: Duration) {
+        self.last_confirmed_at = self.last_confirmed_at.max(Some(last_confirmed_at));
         if from != self.next || page.next <= from {
             return;
         }
-        self.forget_encoded();
+        self.invalidate_encoded();
         for record in &page.records {
-            self.put_newest(record, page.next);
+            self.apply_record(record, page.next);
         }
         self.next = page.next;
         if self.subject == Subject::Configuration {
             return;
         }
-        self.recent.extend(page.records.iter().cloned());
+        self.recent_records.extend(page.records.iter().cloned());
         // Records that are not ours to read leave gaps; then only whole pages can be passed on from here.
         let read = u64::try_from(page.records.len()).unwrap_or(u64::MAX);
         if page.next.records_since(from) != Some(read) {
-            self.recent.clear();
+            self.recent_records.clear();
         }
-        while self.recent.len() > KEPT_RECORDS {
-            self.recent.pop_front();
+        while self.recent_records.len() > RECENT_RECORDS_MAX {
+            self.recent_records.pop_front();
         }
     }
 
-    fn forget_encoded(&mut self) {
+    fn invalidate_encoded(&mut self) {
         self.encoded = None;
-        self.encoded_whole = None;
+        self.encoded_full = None;
     }
 
     /// Records from a place on, encoded; nothing where they are not all kept. Who asks may be ahead of what is known here. Of another era there are none:
@@ -145,8 +145,8 @@
         if from.era() != self.next.era() {
             return encode(&[]);
         }
-        if self.subject == Subject::Configuration && from < self.config_in_by {
-            return self.encoded_whole();
+        if self.subject == Subject::Configuration && from < self.config_position {
+            return self.encoded_full();
         }
         if self.subject == Subject::Configuration && from < self.next {
             return encode(&[&SiteRecord::EvacuatedHalls(self.evacuated.clone())]);
@@ -156,35 +156,35 @@
         }
         let missing = self.next.records_since(from).unwrap_or_default();
         let missing = usize::try_from(missing).ok()?;
-        let skipped = self.recent.len().checked_sub(missing)?;
-        let records: Vec<&SiteRecord> = self.recent.iter().skip(skipped).collect();
+        let skipped = self.recent_records.len().checked_sub(missing)?;
+        let records: Vec<&SiteRecord> = self.recent_records.iter().skip(skipped).collect();
         let page = encode(&records)?;
         self.encoded = Some((from, page.clone()));
         Some(page)
     }
 
     /// The newest record of each key, encoded.
-    pub(super) fn encoded_whole(&mut self) -> Option<EncodedPage> {
-        if self.encoded_whole.is_none() {
+    pub(super) fn encoded_full(&mut self) -> Option<EncodedPage> {
+        if self.encoded_full.is_none() {
             let halls = SiteRecord::EvacuatedHalls(self.evacuated.clone());
-            let mut records: Vec<&SiteRecord> = self.newest.values().collect();
+            let mut records: Vec<&SiteRecord> = self.latest.values().collect();
             if self.subject == Subject::Configuration {
                 records.push(&halls);
             }
-            self.encoded_whole = encode(&records);
+            self.encoded_full = encode(&records);
         }
-        self.encoded_whole.clone()
+        self.encoded_full.clone()
     }
 }
 
 /// No member has such a name.
-fn suspect_key(content: ContentId) -> String {
-    format!("suspect/{content}")
+fn suspect_key(fingerprint: ContentId) -> String {
+    format!("suspect/{fingerprint}")
 }
 
 fn encode(records: &[&SiteRecord]) -> Option<EncodedPage> {
     let encoded = EncodedPage::encode(&records);
     encoded
-        .inspect_err(|fault| warn!("records not encoded", kv: { why: = fault }))
+        .inspect_err(|error| warn!("records not encoded", kv: { why: = error }))
         .ok()
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -19,8 +19,8 @@
 use super::{names, operator_config, servers, unknown};
 use crate::gateway::parts;
 use crate::gateway::site_store::{
-    KeptSuspect, MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError,
-    StoreResult, Subject,
+    MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError, StoreResult,
+    StoredSuspect, Subject,
 };
 use crate::kernel::content::{ContentId, NotAContent};
 use crate::kernel::evacuation::{EvacuatedHalls, HallOrder};
@@ -262,7 +262,7 @@
 
 #[async_trait]
 impl SiteStore for Store {
-    async fn newest(&self, subject: Subject) -> StoreResult<SitePage> {
+    async fn read_latest(&self, subject: Subject) -> StoreResult<SitePage> {
         let mut records = Vec::new();
         let mut first_end = None;
         let mut since: Option<String> = None;
@@ -272,7 +272,7 @@
             // Pages are no snapshot: reading on from the end of the first one misses nothing.
             let first_end: Position = *first_end.get_or_insert(end);
             if era != first_end.era() {
-                return Err(StoreError::AnotherEra { era });
+                return Err(StoreError::EraChanged { era });
             }
             since = page.items.last().map(|item| item.key.clone());
             for item in page.items {
@@ -306,7 +306,7 @@
             .call(|client| client.get(url), wait + CALL_TIMEOUT)
             .await?;
         if answered.era > from.era() {
-            return Err(StoreError::AnotherEra { era: answered.era });
+            return Err(StoreError::EraChanged { era: answered.era });
         }
         let body = body(answered.response).await?;
         let keyed = split_records(&body).map_err(StoreError::Malformed)?;
@@ -328,12 +328,12 @@
         self.put(&member.name, &to_json(member)?).await
     }
 
-    async fn keep_suspect(&self, suspect: &KeptSuspect) -> StoreResult<()> {
-        let key = suspect_key(suspect.content());
+    async fn store_suspect(&self, suspect: &StoredSuspect) -> StoreResult<()> {
+        let key = suspect_key(suspect.fingerprint());
         self.put(&key, &to_json(suspect)?).await
     }
 
-    async fn drop_suspect(&self, content: ContentId) -> StoreResult<()> {
+    async fn delete_suspect(&self, content: ContentId) -> StoreResult<()> {
         self.put(&suspect_key(content), &[]).await
     }
 }
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -25,17 +25,17 @@
     let site = RoutedSite::start(0).await;
     let proxy = Proxy::start(site.standin.store_address()).await;
     let store = site_store::connect("keyed_log", proxy.address).expect("a client");
-    let concurrent = (0..CONNECTIONS).map(|_| store.newest(Subject::Configuration));
+    let concurrent = (0..CONNECTIONS).map(|_| store.read_latest(Subject::Configuration));
     for read in join_all(concurrent).await {
         read.expect("an answer");
     }
     proxy.silence_open();
     store
-        .newest(Subject::Configuration)
+        .read_latest(Subject::Configuration)
         .await
         .expect_err("no answer on a silent connection");
     for _ in 0..CONNECTIONS {
-        let read = store.newest(Subject::Configuration).await;
+        let read = store.read_latest(Subject::Configuration).await;
         read.expect("an answer on a new connection");
     }
 }
