--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -1,7 +1,8 @@
-//! Takes a newer configuration from a peer that told of it, where the usual path is late: this instance or its reader may be cut off.
+//! Fetches a newer configuration from a peer that announced it, if the primary path through the
+//! store is late because this instance or its reader is cut off.
 //!
-//! Every heartbeat of an up-to-date peer tells of the newer version. One transfer at a time is enough: many of them fill the link, and none
-//! comes to its end.
+//! Every heartbeat of an up-to-date peer announces the newer version. Only one transfer runs at a
+//! time: several would saturate the link, and none would complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +16,15 @@
 use crate::kernel::route::RouteConfig;
 use crate::peer::generated as wire;
 
-/// The usual path gets this long before a peer is asked: a reader passes a change on within 100 ms.
+/// Time allowed for the primary path before a peer is queried; a reader forwards a change within
+/// 100 ms.
 const PRIMARY_PATH_WAIT: Duration = Duration::from_millis(250);
-/// How often it is looked whether the usual path is still at it.
+/// Interval of checks for progress of the primary path.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for the head of a peer's answer.
+/// Timeout for the head of a peer's response.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A peer told that it has a newer version.
+/// Fetches a newer configuration version that a peer announced, unless a fetch is running.
 pub(crate) fn fetch_newer_config(gateway: &Arc<Gateway>, version: u64, address: String) {
     let Some(guard) = gateway.catch_up.try_start() else {
         return;
@@ -37,7 +39,7 @@
     });
 }
 
-/// Waits a moment for the usual path, and for as long as a configuration is on its way along it.
+/// Waits briefly for the primary path, and for as long as it is receiving a configuration.
 async fn wait_for_primary_path(gateway: &Gateway, version: u64) {
     let deadline = gateway.now() + PRIMARY_PATH_WAIT;
     while gateway.config_version() < version
@@ -75,7 +77,7 @@
     page.decode().map_err(|error| error.to_string())
 }
 
-/// Answers a peer that asks for the configuration in force: nothing where it is no newer.
+/// Encodes the current configuration for a peer; `None` if it is not newer than the peer's.
 pub(crate) fn encode_newer_config(
     gateway: &Gateway,
     request: wire::FetchRoutesRequest,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,12 +1,14 @@
-//! Serves the routes of a site: calls are passed to the endpoints of their service, unchanged but for what larkwick sets.
+//! Serves the routes of a site: forwards calls to the endpoints of their service, unchanged except
+//! for what larkwick sets.
 //!
 //! | file | subject |
 //! |---|---|
 //! | `app` | starts an instance and stops it as planned |
 //! | `node` | the state of an instance, in shards |
-//! | `site_store` | the platform's store, as a trait with plug-ins |
-//! | `shared_store`, `subject_cache` | the store, read directly or through other instances |
-//! | `store_follower` | keeps configuration, endpoints and members in step with the store |
+//! | `site_store` | interface to the platform's store, implemented by plug-ins |
+//! | `shared_store`, `subject_cache` | cached access to the store, directly or through peers |
+//! | `store_follower` | synchronizes configuration, endpoints and members with the store |
+//! | `catch_up` | fetches a newer configuration from a peer if the path through the store is late |
 //! | `heartbeat` | which members live |
 //! | `live_members` | the view of the members that live, kept until it changes |
 //! | `listener` | connections of callers |
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -1,8 +1,10 @@
-//! The store as seen through other instances: a few readers ask the store itself, the others ask a reader.
+//! Shared access to the store: a few readers query the store itself, and all other instances query
+//! a reader.
 //!
-//! A call to the store is dear and there may be thousands of instances. Offsets are the store's own, so an instance can change its
-//! source at any record. Every answer carries the age of the last word of the store, so that two instances that read from each
-//! other notice when neither hears the store any more.
+//! Calls to the store are expensive, and a site may have thousands of instances. All sources use
+//! the store's own offsets, so an instance can switch its source at any record. Every response
+//! carries the time since the store last confirmed the data, so two instances that read from each
+//! other notice when neither of them reaches the store.
 
 mod bootstrap;
 mod peer_reads;
@@ -31,47 +33,52 @@
 use crate::peer::client::PeerClients;
 use crate::peer::generated as wire;
 
-/// On top of its wait, the head of another instance's answer may take this long.
+/// Time allowed for the head of a peer's response, in addition to the poll wait of the request.
 const PEER_HEAD_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long a read of the members at another instance waits for news: heartbeats tell of members sooner.
+/// Poll wait when reading the members from a peer. Heartbeats report changes of the members sooner.
 const MEMBERS_PEER_POLL_WAIT: Duration = Duration::from_secs(2);
-/// How long a read of the members at the store waits for news.
+/// Poll wait when reading the members from the store.
 const MEMBERS_STORE_POLL_WAIT: Duration = Duration::from_secs(5);
-/// How old a word on the members may be when it is taken from another instance. Longer than a reader waits for news.
+/// Maximum age of members data accepted from a peer. Longer than a reader's poll wait.
 const MEMBERS_PEER_AGE_MAX: Duration = Duration::from_secs(12);
 
-/// An entry lapses after three silent heartbeats of more than a second each, so that shorter outages take none away.
+/// Shortest outage of the store after which entries may be missing: an entry expires after three
+/// missed heartbeats of more than one second each, so no entry expires in a shorter outage.
 const OUTAGE_MIN: Duration = Duration::from_secs(2);
-/// Beside its wait, a call to the store that takes longer than this was not answered late but read late: calls are given up sooner.
+/// Longest time to a response of the store, in addition to the poll wait. Calls time out sooner, so
+/// a call that took longer was answered in time but its response was read late.
 const STORE_RESPONSE_MAX: Duration = Duration::from_secs(1);
-/// A page, and how fresh it is.
+
+/// A page with the age of its data.
 #[derive(Debug)]
 struct AgedPage {
     page: SitePage,
-    /// Age of the store's last word.
+    /// Time since the store last confirmed the data.
     age: Duration,
-    /// Time since the store came back from an outage, where that was of late.
+    /// Time since the store recovered from an outage; `None` if no recent recovery is known.
     since_recovery: Option<Duration>,
 }
 
+/// State of one subject.
 struct SubjectShard {
     cache: Mutex<SubjectCache>,
     sources: Mutex<StoreSources>,
-    /// When the store came back from its last outage.
+    /// Time at which the store recovered from its last outage.
     recovered_at: Mutex<Option<Duration>>,
-    /// When the store last failed somebody, here or elsewhere.
+    /// Last failed call to the store, by this instance or another one.
     contact: Mutex<StoreContact>,
-    /// Source last used, for the log.
+    /// Source of the last successful read, used for logging.
     last_source: Mutex<Option<Source>>,
+    /// Wakes waiting peer reads when records arrive or the store becomes unavailable.
     changed: Notify,
-    /// Pages that are on their way here from other instances.
+    /// Number of pages being received from peers.
     transfers: AtomicUsize,
-    /// Whether the last read failed at all sources.
+    /// True if the last read failed at all sources.
     last_read_failed: AtomicBool,
 }
 
-/// Counts a page as on its way for as long as it lives.
+/// Counts a page as being received until the guard is dropped.
 struct TransferGuard<'a>(&'a AtomicUsize);
 
 impl<'a> TransferGuard<'a> {
@@ -87,7 +94,7 @@
     }
 }
 
-/// The store, read directly or through other instances.
+/// The store, read directly or through peers.
 pub(crate) struct SharedStore {
     own_name: String,
     store: Arc<dyn SiteStore>,
@@ -96,7 +103,7 @@
     live: Arc<LiveMembers>,
     freshness: Freshness,
     tally: Arc<Tally>,
-    /// The latest era of the store that was heard of.
+    /// The latest known era of the store.
     era: AtomicU64,
     shards: [SubjectShard; 3],
 }
@@ -135,7 +142,7 @@
         }
     }
 
-    /// How long a read at another instance waits for news.
+    /// Returns the poll wait for reads from a peer.
     fn peer_poll_wait(&self, subject: Subject) -> Duration {
         match subject {
             Subject::Configuration | Subject::Endpoints => self.freshness.peer_poll_wait(),
@@ -143,7 +150,7 @@
         }
     }
 
-    /// How old a word of the store may be when it is taken from another instance.
+    /// Returns the maximum age of data accepted from a peer.
     fn peer_age_max(&self, subject: Subject) -> Duration {
         match subject {
             Subject::Configuration | Subject::Endpoints => self.freshness.peer_age_max(),
@@ -151,7 +158,7 @@
         }
     }
 
-    /// How long a read waits for news.
+    /// Returns how long a read waits for new records.
     pub(crate) fn poll_wait(&self, subject: Subject) -> Duration {
         match subject {
             Subject::Configuration | Subject::Endpoints => {
@@ -167,7 +174,8 @@
         &self.shards[index.unwrap_or_default()]
     }
 
-    /// Sources of a subject in the order in which they are tried, with the addresses of peers.
+    /// Returns the sources of a subject in the order in which they are tried, with the addresses of
+    /// peers.
     fn sources(&self, subject: Subject) -> Vec<(Source, Option<String>)> {
         let live = self.live.view();
         let now = self.clock.now();
@@ -184,7 +192,8 @@
     }
 
     fn record_source_failure(&self, subject: Subject, source: &Source, error: &StoreError) {
-        // A peer that knows as little as this instance may know more in a moment.
+        // While this instance has no data, failures of peers are not recorded: a peer without data
+        // may receive some shortly.
         if *source == Source::Store || !self.has_no_data(subject) {
             let jitter = rand::rng().random_range(0.0..1.0);
             let now = self.clock.now();
@@ -199,7 +208,8 @@
         }
     }
 
-    /// The store failed at this time, here or elsewhere. Who waits for news here is told at once.
+    /// Records that a call to the store failed at this time, here or at another instance. Wakes
+    /// waiting peer reads if the store thereby becomes unavailable.
     fn record_store_failure(&self, subject: Subject, at: Duration) {
         let was_unavailable = self.is_store_unavailable(subject);
         self.shard(subject).contact.lock().record_failure(at);
@@ -208,20 +218,20 @@
         }
     }
 
-    /// Whether nobody is known to have heard the store since it last failed.
+    /// Returns whether no instance is known to have reached the store since its last failure.
     pub(crate) fn is_store_unavailable(&self, subject: Subject) -> bool {
         let shard = self.shard(subject);
         let last_confirmed_at = shard.cache.lock().last_confirmed_at;
         shard.contact.lock().is_unavailable(last_confirmed_at)
     }
 
-    /// The latest era of the store that was heard of.
+    /// Returns the latest known era of the store.
     pub(crate) fn era(&self) -> u64 {
         self.era.load(Ordering::Relaxed)
     }
 
-    /// An era was heard of, from the store or another instance. In a new one entries may be missing that are written again in a moment, as after an
-    /// outage.
+    /// Records an era that was received from the store or a peer. A new era counts as a recovery:
+    /// as after an outage, entries may be missing until they are written again.
     fn observe_era(&self, era: u64, source: &Source) {
         let before = self.era.fetch_max(era, Ordering::Relaxed);
         if era <= before {
@@ -278,11 +288,11 @@
         let unread_for = head_at.saturating_sub(requested_at + wait + PEER_HEAD_MARGIN);
         let age = Duration::from_millis(head.age_ms) + unread_for;
         if age > self.peer_age_max(subject) && !any_age {
-            let why = format!("the peer heard the store {} ms ago", head.age_ms);
+            let why = format!("the peer last reached the store {} ms ago", head.age_ms);
             return Err(StoreError::NoAnswer(why));
         }
         if head.era < self.era() && !any_age {
-            let why = format!("the peer's word is of the store's era {}", head.era);
+            let why = format!("the peer's data is from the earlier store era {}", head.era);
             return Err(StoreError::NoAnswer(why));
         }
         if from.is_some_and(|from| head.era > from.era()) {
@@ -303,19 +313,20 @@
                 records,
                 next: Position::new(head.era, head.next_offset),
             },
-            // The transfer may have taken its time, too.
+            // Includes the time of the transfer.
             age: age + self.clock.now().saturating_sub(head_at),
             since_recovery: (!since_recovery.is_zero()).then_some(since_recovery),
         })
     }
 
-    /// Whether a page of a subject is on its way here from another instance.
+    /// Returns whether a page of this subject is being received from a peer.
     pub(crate) fn is_receiving(&self, subject: Subject) -> bool {
         self.shard(subject).transfers.load(Ordering::Relaxed) > 0
     }
 
-    /// Reads from the source that comes first; when it fails, from all other instances at once, and last from the store: one after the
-    /// other they could take longer than a departure or a configuration may stay unknown.
+    /// Reads from the preferred source. If it fails, reads from all other peers concurrently, then
+    /// from the store. Sequential reads could exceed the time within which a departure or a
+    /// configuration must be known.
     async fn read_from_any_source(
         &self,
         subject: Subject,
@@ -351,13 +362,13 @@
         read
     }
 
-    /// The store itself; each use of it is a call.
+    /// Returns the store itself and counts a call to it.
     fn store(&self) -> &dyn SiteStore {
         self.tally.count(Work::StoreCall);
         self.store.as_ref()
     }
 
-    /// Reads from several sources at once; the first answer counts.
+    /// Reads from several sources concurrently and returns the first success.
     async fn read_first_success(
         &self,
         sources: Vec<(Source, Option<String>)>,
@@ -377,12 +388,12 @@
         last_read_failed.store(read.is_err(), Ordering::Relaxed);
     }
 
-    /// Whether the store was never heard of a subject, neither here nor through others.
+    /// Returns whether no data of this subject was ever received, from the store or from peers.
     pub(crate) fn has_no_data(&self, subject: Subject) -> bool {
         self.shard(subject).cache.lock().last_confirmed_at.is_none()
     }
 
-    /// Whether neither the store nor any instance answered the last read of a subject.
+    /// Returns whether the last read of this subject failed at the store and at all peers.
     pub(crate) fn is_failing(&self, subject: Subject) -> bool {
         self.shard(subject).last_read_failed.load(Ordering::Relaxed)
     }
@@ -411,7 +422,8 @@
                 self.record_source_success(subject, &source);
                 Ok(self.cache_page(subject, from, aged))
             }
-            // Only the store itself knows which records are gone for good.
+            // Not a failure of the source: only the store itself reports records as permanently
+            // gone.
             Err(error @ (StoreError::Expired { .. } | StoreError::EraChanged { .. })) => Err(error),
             Err(error) => {
                 self.record_source_failure(subject, &source, &error);
@@ -435,17 +447,18 @@
             }
             None => self.store().read_latest(subject).await?,
         };
-        // Where others passed on fresh words meanwhile, only this instance was turned away, and no entry lapsed.
+        // If peers supplied fresh data in the meantime, only this instance could not reach the
+        // store, and no entry expired.
         let silent_for = self.data_age(subject);
         if silent_for.is_some_and(|silent| silent >= OUTAGE_MIN) {
             self.record_recovery(subject, self.clock.now());
         }
-        // An answer that lay unread while this process stood still is as old as that: taken for new, it would be passed on to all as the store's word
-        // of now.
+        // A response that waited unread while this process was suspended is that old. Treated as
+        // new, it would be served to peers as current data.
         let elapsed = self.clock.now().saturating_sub(requested_at);
         let unread_for = match from {
             Some(_) => elapsed.saturating_sub(wait + STORE_RESPONSE_MAX),
-            // Several calls, which may take their time.
+            // Several calls, which may legitimately take longer.
             None => Duration::ZERO,
         };
         Ok(AgedPage {
@@ -460,18 +473,19 @@
         *regained = Some(at).max(*regained);
     }
 
-    /// Age of the store's last word on a subject; nothing before the first one.
+    /// Returns the time since the store last confirmed the data of this subject; `None` before the
+    /// first data.
     pub(crate) fn data_age(&self, subject: Subject) -> Option<Duration> {
         let last_confirmed_at = self.shard(subject).cache.lock().last_confirmed_at?;
         Some(self.clock.now().saturating_sub(last_confirmed_at))
     }
 
-    /// When the store came back from its last outage, as far as is known.
+    /// Returns the time at which the store recovered from its last known outage.
     pub(crate) fn recovered_at(&self, subject: Subject) -> Option<Duration> {
         *self.shard(subject).recovered_at.lock()
     }
 
-    /// Keeps a page for others to read.
+    /// Adds a page to the cache that peers read from.
     fn cache_page(&self, subject: Subject, from: Option<Position>, aged: AgedPage) -> SitePage {
         let now = self.clock.now();
         if let Some(ago) = aged.since_recovery {
@@ -488,7 +502,8 @@
                 None if page.next.era() >= cache.next.era() => {
                     cache.replace(&page, last_confirmed_at)
                 }
-                // On its way while the store came back; whoever asked goes on from there and is told so.
+                // In transit while the store was restored. The caller continues from the end of
+                // this page and is then told of the new era.
                 None => {
                     info!("page of an earlier era left aside", kv: { subject = subject.name(), next: = page.next });
                 }
@@ -502,7 +517,7 @@
 }
 
 fn no_source() -> StoreError {
-    StoreError::NoAnswer("no source".to_owned())
+    StoreError::NoAnswer("no source available".to_owned())
 }
 
 #[async_trait::async_trait]
--- a/src/gateway/shared_store/bootstrap.rs
+++ b/src/gateway/shared_store/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The first words of a subject: nothing is known here, callers are waiting, and perhaps the whole site is starting.
+//! First read of a subject, while this instance has no data. Callers are waiting, and all instances
+//! of the site may be starting at the same time.
 
 use std::time::Duration;
 
@@ -11,25 +12,31 @@
 use crate::kernel::clock::millis;
 use crate::kernel::store_sources::Source;
 
-/// Longest wait for first words at another instance that knows nothing either.
+/// Poll wait at a peer that has no data either.
 const BOOTSTRAP_PEER_WAIT: Duration = Duration::from_millis(350);
-/// Pause between calls to the store while nothing is known of a subject and none was answered; five times what a sound store takes on a day
-/// on which it is ten times as slow.
+/// Interval between calls to the store while no call has been answered. Five times the response
+/// time of a healthy store that is ten times slower than usual.
 const BOOTSTRAP_STORE_INTERVAL: Duration = Duration::from_millis(200);
-/// How much later than the readers others ask the store: a store that is there has answered them by then. Meant to save calls when all start
-/// together; no saving was seen: 2,017 calls on a quiet day of 295 instances without it, 2,076 with it, one run each.
+/// Delay before instances other than readers query the store. An available store has answered the
+/// readers by then. It is meant to save calls when all instances start together, but showed no
+/// saving: 2,017 calls without it and 2,076 with it on a quiet day with 295 instances (one run
+/// each).
 const READER_HEAD_START: Duration = Duration::from_millis(60);
-/// Pause before peers that know nothing are asked again: some of them may not have been listening yet.
+/// Pause before peers without data are queried again; some of them may not have been listening yet.
 const BOOTSTRAP_PEER_PAUSE: Duration = Duration::from_millis(50);
-/// Members asked at once for words of any age.
+/// Number of members queried concurrently for data of any age.
 const STALE_READ_PEERS: usize = 8;
-/// Calls before the instances that start, too, are asked once more.
+/// Maximum number of calls to the store in one bootstrap read. Starting peers are polled for as
+/// many intervals.
 const BOOTSTRAP_STORE_CALLS: u32 = 4;
 
 impl SharedStore {
-    /// Reads a subject of which nothing is known: from what other instances know, else from the store and from those that are starting,
-    /// too, together. Gain: 0.008 of worth (+-0.0035) on a day that ends with a loss of all instances in an outage of the store, mean of six
-    /// paired seeds.
+    /// Reads a subject of which this instance has no data: from peers that have data, else
+    /// concurrently from the store and from peers that are starting too, else stale data from any
+    /// member.
+    ///
+    /// Raised the score by 0.008 (+-0.0035, mean of six paired seeds) on a day that ends with the
+    /// loss of all instances during an outage of the store.
     pub(super) async fn bootstrap(
         &self,
         subject: Subject,
@@ -66,8 +73,9 @@
         read
     }
 
-    /// Reads from the store and, for as long as it is asked, again and again from peers that are starting, too: one of them may have an answer
-    /// long before the calls from here are given up. Asked once, two of six instances served 0.8 s after the others.
+    /// Reads from the store and meanwhile polls peers that are starting too: one of them may
+    /// receive data long before the calls of this instance time out. With a single query of the
+    /// peers, two of six instances began to serve 0.8 s after the others.
     async fn read_store_and_starting_peers(
         &self,
         sources: Vec<(Source, Option<String>)>,
@@ -107,7 +115,7 @@
         Ok(page)
     }
 
-    /// Asks peers until one knows something, for no longer than given beside the last read.
+    /// Polls peers until one returns data. Starts no further read once `duration` has passed.
     async fn poll_peers(
         &self,
         peers: Vec<(Source, Option<String>)>,
@@ -132,8 +140,9 @@
         sources.can_ask_store(self.clock.now())
     }
 
-    /// What a member knows, however old: an instance that starts while the store is down serves what the others serve. A few are asked at
-    /// once: one after the other, 100 members that know as little take longer to ask than an outage lasts.
+    /// Reads a member's data regardless of its age, so that an instance that starts during an
+    /// outage of the store serves what the others serve. Queries a few members concurrently:
+    /// querying 100 members without data one after the other takes longer than an outage lasts.
     async fn read_stale_from_peers(&self, subject: Subject) -> Option<SitePage> {
         let live = self.live.view();
         let others = live.members().iter();
@@ -151,13 +160,14 @@
             return None;
         }
         let ((member, aged), _) = futures::future::select_ok(reads).await.ok()?;
-        info!("started from the words of a member", kv: {
+        info!("bootstrapped from cached data of a member", kv: {
             subject = subject.name(), member = member.name.as_str(), age_ms: = millis(aged.age),
         });
         Some(self.cache_page(subject, None, aged))
     }
 
-    /// Asks the store again while it has not answered yet: a call that began while the store was silent is lost, and callers are waiting.
+    /// Reads the latest records, repeating the call while the store has not answered: a call that
+    /// began while the store was unresponsive is lost, and callers are waiting.
     pub(super) async fn read_latest_with_retries(&self, subject: Subject) -> StoreResult<SitePage> {
         let mut calls = FuturesUnordered::new();
         calls.push(self.store().read_latest(subject));
--- a/src/gateway/shared_store/peer_reads.rs
+++ b/src/gateway/shared_store/peer_reads.rs
@@ -1,4 +1,4 @@
-//! Answers other instances that read what the store holds through this one.
+//! Serves reads of peers from the cached data of the store.
 
 use std::time::Duration;
 
@@ -9,10 +9,16 @@
 use crate::kernel::position::Position;
 use crate::peer::generated as wire;
 
-/// That the store came back from an outage is told for this long.
+/// Time for which a recovery of the store is reported to peers.
 const RECOVERY_REPORTED_FOR: Duration = Duration::from_secs(5);
+
 impl SharedStore {
-    /// Answers another instance from what is known here; waits for news as it asks.
+    /// Serves a peer's read from the cache, after waiting for new records for as long as the peer
+    /// requested.
+    ///
+    /// # Errors
+    /// The subject is unknown, or the requested records are not cached, or the cached data is too
+    /// old or from an earlier era.
     pub(crate) async fn serve_peer_read(
         &self,
         request: &wire::ReadSiteRequest,
@@ -63,7 +69,7 @@
                 "the store was not heard of late",
             ));
         }
-        // What is known here of an earlier era is not passed on as the store's word of now.
+        // Data of an earlier era is not served as current.
         let is_outdated = cache.next.era() < self.era().max(from.era());
         if is_outdated && !request.any_age {
             return Err(tonic::Status::unavailable(
--- a/src/gateway/site_store.rs
+++ b/src/gateway/site_store.rs
@@ -1,4 +1,5 @@
-//! What the platform's store holds for a site: the configuration, the list of endpoints and the members. Plug-ins reach it.
+//! Interface to the platform's store of a site, which holds the configuration, the list of
+//! endpoints and the members. Clients of the store are plug-ins.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +17,19 @@
 use crate::kernel::route::RouteConfig;
 use crate::kernel::suspects::Told;
 
-/// A subject that is kept and followed on its own.
+/// A group of records that is cached and followed independently of the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Subject {
     /// The operator's configuration.
     Configuration,
-    /// The endpoints' own entries.
+    /// The entries that endpoints write about themselves.
     Endpoints,
-    /// The members' own entries.
+    /// The entries that members write about themselves.
     Members,
 }
 
 impl Subject {
-    /// Name in logs.
+    /// Returns the name used in logs and in requests to peers.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -39,46 +40,46 @@
     }
 }
 
-/// What an instance writes about itself when it starts.
+/// The entry that an instance writes about itself when it starts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// Name of the instance.
     pub name: String,
-    /// New at each start.
+    /// Identifies the incarnation; new at each start.
     pub incarnation: uuid::Uuid,
-    /// Its hall.
+    /// Hall of the instance.
     pub hall: String,
-    /// Where callers connect.
+    /// Address on which it accepts callers.
     pub caller_address: SocketAddr,
-    /// Where peers connect.
+    /// Address on which it accepts peers.
     pub peer_address: SocketAddr,
     /// Processor share, in cores.
     pub processor_cores: f64,
-    /// Speed of its link.
+    /// Speed of its network link, in Mbit/s.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
 }
 
 impl MemberEntry {
-    /// What it can carry against others, in cores.
+    /// Returns its capacity relative to other members, in cores.
     #[must_use]
     pub fn capacity_cores(&self) -> f64 {
         roles::capacity_cores(self.processor_cores, self.link_mbps)
     }
 }
 
-/// A content that endpoints ended under, as the store keeps it.
+/// A fingerprint suspected of crashing endpoints, as recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSuspect {
-    /// What was known of it.
+    /// The report at the time of writing.
     #[serde(rename = "told")]
     report: Told,
-    /// When, in milliseconds since 1970.
+    /// Time of writing, in milliseconds since the Unix epoch.
     at_unix_ms: u64,
 }
 
 impl StoredSuspect {
-    /// What is known of a content at this time of day.
+    /// Creates the record of a report at this Unix time.
     #[must_use]
     pub fn new(report: Told, unix_time: Duration) -> Self {
         Self {
@@ -87,13 +88,13 @@
         }
     }
 
-    /// The content.
+    /// Returns the fingerprint of the suspect.
     #[must_use]
     pub fn fingerprint(&self) -> ContentId {
         self.report.content
     }
 
-    /// The same, as it is told at this time of day.
+    /// Returns the report with the age of its last crash adjusted to this Unix time.
     #[must_use]
     pub fn report_at(&self, unix_time: Duration) -> Told {
         let stored_for = unix_time.saturating_sub(Duration::from_millis(self.at_unix_ms));
@@ -104,99 +105,99 @@
     }
 }
 
-/// A record of the store, decoded.
+/// A decoded record of the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum SiteRecord {
-    /// The configuration in full.
+    /// The complete configuration.
     Configuration(RouteConfig),
-    /// An order to empty a hall or take it back.
+    /// An order to evacuate a hall or to restore it.
     HallOrder(HallOrder),
-    /// All halls that are evacuated.
+    /// All evacuated halls.
     EvacuatedHalls(EvacuatedHalls),
-    /// An endpoint's entry.
+    /// The entry of an endpoint.
     Endpoint(EndpointEntry),
-    /// The entry under a listed id is gone.
+    /// The entry of a listed id was deleted.
     EndpointGone(String),
-    /// A member's entry.
+    /// The entry of a member.
     Member(MemberEntry),
-    /// A content that endpoints ended under.
+    /// A fingerprint suspected of crashing endpoints.
     Suspect(StoredSuspect),
-    /// A content is kept no more.
+    /// The record of a suspect was deleted.
     SuspectGone(ContentId),
-    /// A record that cannot be read.
+    /// A record that could not be decoded.
     Unreadable {
         /// Its key.
         key: String,
-        /// What is wrong with it.
+        /// Reason why decoding failed.
         why: String,
     },
 }
 
-/// Consecutive records, or the newest of each key.
+/// Consecutive records, or the latest record of each key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SitePage {
     /// The records.
     pub records: Vec<SiteRecord>,
-    /// Place from which to read on.
+    /// Position at which the next read continues.
     pub next: Position,
 }
 
-/// A call to the store that did not succeed.
+/// Error of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing was done.
-    #[error("the store refused: {0}")]
+    /// The store rejected the call without any effect.
+    #[error("the store rejected the call: {0}")]
     Refused(String),
-    /// No whole answer: a write may have been done, or may be done later.
+    /// No complete response was received. A write may have been applied, or may be applied later.
     #[error("the store did not answer: {0}")]
     NoAnswer(String),
-    /// Records from the offset asked for are no longer kept.
-    #[error("records before offset {first_offset} are no longer kept")]
+    /// Records at the requested offset are no longer retained.
+    #[error("records before offset {first_offset} are no longer retained")]
     Expired {
-        /// The first offset that is kept.
+        /// The first retained offset.
         first_offset: u64,
     },
-    /// The store has come back from an older copy since: the records under the offset asked for are others.
-    #[error("the store came back from an older copy; its era is {era} now")]
+    /// The store was restored from an older copy; the requested offset now refers to other records.
+    #[error("the store was restored from an older copy; its era is now {era}")]
     EraChanged {
-        /// The era now.
+        /// The current era.
         era: u64,
     },
-    /// An answer that cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response could not be decoded.
+    #[error("could not decode the store's response: {0}")]
     Malformed(String),
 }
 
 /// Result of a call to the store.
 pub type StoreResult<T> = Result<T, StoreError>;
 
-/// The store, as an instance uses it.
+/// Operations of the store that an instance uses.
 #[async_trait]
 pub trait SiteStore: Send + Sync {
-    /// The newest record of each key.
+    /// Reads the latest record of each key.
     async fn read_latest(&self, subject: Subject) -> StoreResult<SitePage>;
-    /// Records from a place on; waits up to `wait` for the first one.
+    /// Reads records from a position on; waits up to `wait` for the first one.
     async fn read(&self, subject: Subject, from: Position, wait: Duration)
     -> StoreResult<SitePage>;
-    /// Writes this instance's own entry.
+    /// Writes the entry of this instance.
     async fn announce(&self, member: &MemberEntry) -> StoreResult<()>;
-    /// Keeps a content that endpoints ended under, in place of what was kept of it.
+    /// Writes the record of a suspect, replacing an earlier one.
     async fn store_suspect(&self, suspect: &StoredSuspect) -> StoreResult<()>;
-    /// Drops what is kept of a content.
+    /// Deletes the record of a suspect.
     async fn delete_suspect(&self, fingerprint: ContentId) -> StoreResult<()>;
 }
 
-/// A registered way to reach a store.
+/// A registered client of a store.
 pub struct SiteStorePlugin {
     /// Name in the settings.
     pub name: &'static str,
-    /// Connects to an address.
+    /// Creates a client for an address.
     pub connect: fn(address: SocketAddr) -> anyhow::Result<Arc<dyn SiteStore>>,
 }
 
 inventory::collect!(SiteStorePlugin);
 
-/// Names of the registered plug-ins, sorted.
+/// Returns the names of the registered plug-ins, sorted.
 #[must_use]
 pub fn names() -> Vec<&'static str> {
     let plugins = inventory::iter::<SiteStorePlugin>();
@@ -205,7 +206,7 @@
     names
 }
 
-/// Connects by plug-in name.
+/// Creates a client with the named plug-in.
 ///
 /// # Errors
 /// The name is unknown, or the client cannot be built.
--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -1,4 +1,5 @@
-//! Keeps configuration, endpoints and members in step with the store: the newest records first, then whatever is added.
+//! Synchronizes configuration, endpoints and members with the store: reads the latest record of
+//! each key first, then follows new records.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,31 +17,36 @@
 use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::kernel::position::Position;
 
-/// First pause after a failed call.
+/// Initial pause after a failed call.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(100);
-/// Longest pause: when the store is back, readers hear of it within this time and the others within twice that, so that all have caught
-/// up well before the shortest span after which they are held to it, three seconds.
+/// Longest pause after a failed call. Readers notice a recovery of the store within this time and
+/// other instances within twice that, well before the shortest deadline for catching up, three
+/// seconds.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(600);
-/// Longest pause while nothing is known of a subject: callers are waiting, and the reads before it took half a second in an outage.
+/// Longest pause while a subject has no data. Callers are waiting, and in an outage the reads
+/// before the pause already take half a second.
 const PAUSE_WITHOUT_DATA_MAX: Duration = Duration::from_millis(50);
 
-/// A site that starts as a whole knows its members after about this long.
+/// Longest wait for the members. When a whole site starts, its members are known after about this
+/// time.
 const MEMBERS_WAIT_MAX: Duration = Duration::from_millis(300);
-/// A store that answers has told the members within this time; after it, a member that was heard is enough.
+/// Time within which an available store returns the list of members. After it, one live peer
+/// suffices.
 const MEMBERS_LIST_WAIT: Duration = Duration::from_millis(60);
 
-/// After news, a read waits this long for what comes with it: endpoints leave several at a time, and a site starts as a whole. One read
-/// is one call to the store for each reader.
+/// Returns the delay after new records, so that the next read returns the following records in one
+/// batch: endpoints leave several at a time, and the instances of a site start together. Each read
+/// costs one call to the store per reader.
 const fn batching_delay(subject: Subject) -> Duration {
     match subject {
         Subject::Configuration => Duration::ZERO,
-        // Little of the 1.5 s that engines give notice.
+        // Short compared with the 1.5 s notice that engines give before they leave.
         Subject::Endpoints => Duration::from_millis(25),
         Subject::Members => Duration::from_millis(500),
     }
 }
 
-/// Whether the store answers for a subject, and since when it does not.
+/// Availability of the store for a subject, and the pause after failed calls.
 struct StoreStatus {
     subject: Subject,
     unavailable_since: Option<Duration>,
@@ -83,8 +89,9 @@
     }
 }
 
-/// Waits a moment for the list of the members, or in an outage of the store for a first one that lives: what they know need not be read at
-/// the store. An instance that has met one member only takes itself for a reader, and so would each of hundreds that start together.
+/// Waits briefly for the list of members or, during an outage of the store, for a first live peer.
+/// Data that peers have need not be read from the store. An instance that knows only one member
+/// acts as a reader, and so would each of hundreds that start together.
 async fn wait_for_members(gateway: &Gateway) {
     const CHECK_INTERVAL: Duration = Duration::from_millis(15);
     let started_at = gateway.now();
@@ -99,7 +106,7 @@
     }
 }
 
-/// Follows a subject for the life of the instance.
+/// Follows a subject for the lifetime of the instance.
 pub(crate) async fn follow_subject(gateway: Arc<Gateway>, subject: Subject) {
     if subject != Subject::Members {
         wait_for_members(&gateway).await;
@@ -118,11 +125,12 @@
     }
 }
 
-/// Reads on until records have expired or an answer cannot be read.
+/// Follows new records until records have expired, the era changes or a response cannot be decoded.
 async fn follow_from(gateway: &Gateway, status: &mut StoreStatus, mut from: Position) {
     let subject = status.subject;
     loop {
-        // An answer without news shows that the store is there; after a failure, one that waits for news would not.
+        // After a failure, an immediate response without records shows that the store is available
+        // again; a read that waits for records would delay this.
         let wait = if status.unavailable_since.is_some() {
             Duration::ZERO
         } else {
@@ -138,10 +146,10 @@
                     tokio::time::sleep(batching_delay(subject)).await;
                 }
             }
-            // Noted where it was found.
+            // Already logged by the shared store.
             Err(StoreError::EraChanged { .. }) => return,
             Err(error @ (StoreError::Expired { .. } | StoreError::Malformed(_))) => {
-                warn!("records cannot be followed; reading the newest", kv: {
+                warn!("cannot continue from the last position; reading the latest records", kv: {
                     subject = subject.name(), from: = from, why: = error,
                 });
                 status.pause_after_failure(gateway, &error).await;
@@ -152,6 +160,7 @@
     }
 }
 
+/// Applies a page with the latest record of each key.
 fn apply_latest(gateway: &Arc<Gateway>, subject: Subject, page: SitePage) {
     if subject != Subject::Endpoints {
         if subject == Subject::Members {
@@ -173,8 +182,9 @@
     log_fleet_changes(&changes);
 }
 
-/// Has what this instance wrote written again where the store holds it no more since it came back from an older copy. Within an era nothing is lost, and
-/// a list may be older than what was written.
+/// Triggers rewriting of this instance's own records that are missing after the store was restored
+/// from an older copy. Does nothing within an era: no record is lost then, and a list may be older
+/// than the last write.
 fn rewrite_missing_own_records(gateway: &Gateway, page: &SitePage) {
     let era = page.next.era();
     let before = gateway.own_records_era.lock().replace(era);
@@ -200,7 +210,8 @@
     }
 }
 
-/// Adds a record of the list to the news; a later word on an endpoint takes the place of an earlier one.
+/// Adds a record of the endpoint list to an update; a later record of an endpoint replaces an
+/// earlier one.
 fn collect_list_record(gateway: &Gateway, update: &mut ListUpdate, record: SiteRecord) {
     match record {
         SiteRecord::Endpoint(entry) => update.add_entry(entry),
@@ -213,7 +224,8 @@
     }
 }
 
-/// Entries that are missing right after an outage of the list may come back.
+/// Reports a recovery of the store to the fleet: entries missing right after an outage may come
+/// back.
 fn record_list_recovery(gateway: &Gateway) {
     if let Some(at) = gateway.store.recovered_at(Subject::Endpoints) {
         gateway.fleet.lock().record_list_recovery(at);
@@ -249,7 +261,7 @@
 fn apply_record(gateway: &Gateway, record: SiteRecord) {
     match record {
         SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
-        SiteRecord::Member(entry) => take_member(gateway, entry),
+        SiteRecord::Member(entry) => apply_member(gateway, entry),
         SiteRecord::Suspect(stored) => gateway.merge_stored_suspect(&stored),
         SiteRecord::SuspectGone(fingerprint) => gateway.suspects.lock().not_kept(fingerprint),
         SiteRecord::HallOrder(order) => gateway.order_hall(&order),
@@ -268,7 +280,7 @@
     }
 }
 
-fn take_member(gateway: &Gateway, entry: MemberEntry) {
+fn apply_member(gateway: &Gateway, entry: MemberEntry) {
     if entry.name == gateway.incarnation.name {
         return;
     }
@@ -294,7 +306,7 @@
     gateway.take_member_entry(entry);
 }
 
-/// Logs what changed in the fleet.
+/// Logs endpoints that joined or are leaving.
 pub(crate) fn log_fleet_changes(changes: &[FleetChange]) {
     for change in changes {
         let (message, entry) = match change {
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of one subject of the store, and the pages in which others read it here.
+//! Cache of one subject of the store, with encoded pages for peers that read from this instance.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,28 +12,31 @@
 use crate::kernel::position::Position;
 use crate::kernel::route::RouteConfig;
 
-/// Records of a subject that are kept for others to read on from.
+/// Maximum number of recent records kept for peers that continue from an earlier position.
 const RECENT_RECORDS_MAX: usize = 512;
-/// What is known of a subject.
+
+/// Cached records of a subject.
 #[derive(Debug)]
 pub(super) struct SubjectCache {
     subject: Subject,
-    /// Newest record of each key; empty before the first answer.
+    /// Latest record of each key; empty before the first page.
     latest: BTreeMap<String, SiteRecord>,
-    /// The last records, the newest last; the first one stands their number before `next`. Empty for the configuration, of
-    /// which only the newest record counts: each one may have a megabyte.
+    /// The most recent records in order; the first one is `recent_records.len()` positions before
+    /// `next`. Empty for the configuration: only its latest record matters, and each record may
+    /// have a megabyte.
     recent_records: VecDeque<SiteRecord>,
-    /// The halls that are evacuated; told with every page of the operator's subject, since they are few and short.
+    /// The evacuated halls. Every page of the configuration subject includes them, since they are
+    /// few and small.
     evacuated: EvacuatedHalls,
-    /// Who has read to here has the newest configuration.
+    /// Readers that have reached this position have the latest configuration.
     config_position: Position,
-    /// Place of the next record.
+    /// Position of the next record.
     pub(super) next: Position,
-    /// When the store last said something, by this instance's clock.
+    /// Time at which the store last confirmed the data, by this instance's clock.
     pub(super) last_confirmed_at: Option<Duration>,
-    /// The last page that was encoded for others, which most of them ask for, and its first place.
+    /// The last encoded page and its first position. Most peers request the same page.
     encoded: Option<(Position, EncodedPage)>,
-    /// The newest records, encoded for others.
+    /// The latest record of each key, encoded.
     encoded_full: Option<EncodedPage>,
 }
 
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Keeps a record as the newest of its key; the page that it came in ends at a place.
+    /// Applies a record as the latest of its key. `page_end` is the end of the page that contained
+    /// it.
     fn apply_record(&mut self, record: &SiteRecord, page_end: Position) {
         let key = match record {
             SiteRecord::EvacuatedHalls(halls) => {
@@ -81,15 +85,17 @@
                 self.latest.remove(&suspect_key(*fingerprint));
                 return;
             }
-            // Whoever reads the list here must not use what the entry before said.
+            // Readers of the list must not use the earlier entry of this key.
             SiteRecord::Unreadable { key, .. } if self.subject == Subject::Endpoints => key.clone(),
             SiteRecord::Unreadable { .. } => return,
         };
         self.latest.insert(key, record.clone());
     }
 
+    /// Replaces the cached records by a page with the latest record of each key.
     pub(super) fn replace(&mut self, page: &SitePage, last_confirmed_at: Duration) {
-        // A copy from which the store has come back may have an older configuration; it is never told on.
+        // A store restored from an older copy may return an older configuration, which must not be
+        // served to peers.
         self.latest
             .retain(|_, record| matches!(record, SiteRecord::Configuration(_)));
         self.recent_records.clear();
@@ -101,7 +107,7 @@
         self.last_confirmed_at = Some(last_confirmed_at);
     }
 
-    /// Whether a configuration is older than the one kept.
+    /// Returns whether a configuration is older than the cached one.
     fn is_older_than_cached(&self, config: &RouteConfig) -> bool {
         let cached = self.latest.get("");
         cached.is_some_and(|cached| match cached {
@@ -110,6 +116,8 @@
         })
     }
 
+    /// Appends a page that starts at the end of the cached records; other pages only update the
+    /// time of confirmation.
     pub(super) fn extend(&mut self, from: Position, page: &SitePage, last_confirmed_at: Duration) {
         self.last_confirmed_at = self.last_confirmed_at.max(Some(last_confirmed_at));
         if from != self.next || page.next <= from {
@@ -124,7 +132,8 @@
             return;
         }
         self.recent_records.extend(page.records.iter().cloned());
-        // Records that are not ours to read leave gaps; then only whole pages can be passed on from here.
+        // Records that larkwick does not read leave gaps in the offsets. Peers at earlier positions
+        // then cannot continue here; only full reads are served.
         let read = u64::try_from(page.records.len()).unwrap_or(u64::MAX);
         if page.next.records_since(from) != Some(read) {
             self.recent_records.clear();
@@ -139,8 +148,10 @@
         self.encoded_full = None;
     }
 
-    /// Records from a place on, encoded; nothing where they are not all kept. Who asks may be ahead of what is known here. Of another era there are none:
-    /// who asks is told this one and reads the newest.
+    /// Returns the encoded records from a position on; `None` if some of them are no longer cached.
+    ///
+    /// The requester may be ahead of this cache. For a position of another era the page is empty:
+    /// the requester learns the current era from the head and reads the latest records.
     pub(super) fn encoded_since(&mut self, from: Position) -> Option<EncodedPage> {
         if from.era() != self.next.era() {
             return encode(&[]);
@@ -163,7 +174,7 @@
         Some(page)
     }
 
-    /// The newest record of each key, encoded.
+    /// Returns the encoded latest record of each key; `None` if encoding fails.
     pub(super) fn encoded_full(&mut self) -> Option<EncodedPage> {
         if self.encoded_full.is_none() {
             let halls = SiteRecord::EvacuatedHalls(self.evacuated.clone());
@@ -177,7 +188,7 @@
     }
 }
 
-/// No member has such a name.
+/// Returns the cache key of a suspect, which cannot be the name of a member.
 fn suspect_key(fingerprint: ContentId) -> String {
     format!("suspect/{fingerprint}")
 }
@@ -185,6 +196,6 @@
 fn encode(records: &[&SiteRecord]) -> Option<EncodedPage> {
     let encoded = EncodedPage::encode(&records);
     encoded
-        .inspect_err(|error| warn!("records not encoded", kv: { why: = error }))
+        .inspect_err(|error| warn!("could not encode records for peers", kv: { why: = error }))
         .ok()
 }
