--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -181,14 +181,14 @@
         let now = self.clock.now();
         let shard = self.shard(subject);
         let sources = shard.sources.lock().ordered_sources(live.readers(), now);
-        let with_address = sources.into_iter().map(|source| {
+        let with_addresses = sources.into_iter().map(|source| {
             let address = match &source {
                 Source::Store => None,
                 Source::Peer(name) => live.get(name).map(|member| member.peer_address.clone()),
             };
             (source, address)
         });
-        with_address.collect()
+        with_addresses.collect()
     }
 
     fn record_source_failure(&self, subject: Subject, source: &Source, error: &StoreError) {
@@ -221,8 +221,8 @@
     /// Returns whether no instance is known to have reached the store since its last failure.
     pub(crate) fn is_store_unavailable(&self, subject: Subject) -> bool {
         let shard = self.shard(subject);
-        let last_confirmed_at = shard.cache.lock().last_confirmed_at;
-        shard.contact.lock().is_unavailable(last_confirmed_at)
+        let confirmed_at = shard.cache.lock().confirmed_at;
+        shard.contact.lock().is_unavailable(confirmed_at)
     }
 
     /// Returns the latest known era of the store.
@@ -302,9 +302,9 @@
             let ago = Duration::from_millis(head.store_failed_ms_ago);
             self.record_store_failure(subject, head_at.saturating_sub(ago));
         }
-        let transfers = TransferGuard::start(&self.shard(subject).transfers);
+        let transfer = TransferGuard::start(&self.shard(subject).transfers);
         let page = response.rest().await.map_err(StoreError::NoAnswer)?;
-        drop(transfers);
+        drop(transfer);
         let records = page.decode();
         let records = records.map_err(|fault| StoreError::Malformed(fault.to_string()))?;
         let since_recovery = Duration::from_millis(head.regained_ms_ago);
@@ -390,7 +390,7 @@
 
     /// Returns whether no data of this subject was ever received, from the store or from peers.
     pub(crate) fn has_no_data(&self, subject: Subject) -> bool {
-        self.shard(subject).cache.lock().last_confirmed_at.is_none()
+        self.shard(subject).cache.lock().confirmed_at.is_none()
     }
 
     /// Returns whether the last read of this subject failed at the store and at all peers.
@@ -449,8 +449,8 @@
         };
         // If peers supplied fresh data in the meantime, only this instance could not reach the
         // store, and no entry expired.
-        let silent_for = self.data_age(subject);
-        if silent_for.is_some_and(|silent| silent >= OUTAGE_MIN) {
+        let data_age = self.data_age(subject);
+        if data_age.is_some_and(|age| age >= OUTAGE_MIN) {
             self.record_recovery(subject, self.clock.now());
         }
         // A response that waited unread while this process was suspended is that old. Treated as
@@ -469,15 +469,15 @@
     }
 
     fn record_recovery(&self, subject: Subject, at: Duration) {
-        let mut regained = self.shard(subject).recovered_at.lock();
-        *regained = Some(at).max(*regained);
+        let mut recovered_at = self.shard(subject).recovered_at.lock();
+        *recovered_at = Some(at).max(*recovered_at);
     }
 
     /// Returns the time since the store last confirmed the data of this subject; `None` before the
     /// first data.
     pub(crate) fn data_age(&self, subject: Subject) -> Option<Duration> {
-        let last_confirmed_at = self.shard(subject).cache.lock().last_confirmed_at?;
-        Some(self.clock.now().saturating_sub(last_confirmed_at))
+        let confirmed_at = self.shard(subject).cache.lock().confirmed_at?;
+        Some(self.clock.now().saturating_sub(confirmed_at))
     }
 
     /// Returns the time at which the store recovered from its last known outage.
@@ -491,17 +491,15 @@
         if let Some(ago) = aged.since_recovery {
             self.record_recovery(subject, now.saturating_sub(ago));
         }
-        let last_confirmed_at = now.saturating_sub(aged.age);
+        let confirmed_at = now.saturating_sub(aged.age);
         let page = aged.page;
         let shard = self.shard(subject);
         shard.last_read_failed.store(false, Ordering::Relaxed);
         {
             let mut cache = shard.cache.lock();
             match from {
-                Some(from) => cache.extend(from, &page, last_confirmed_at),
-                None if page.next.era() >= cache.next.era() => {
-                    cache.replace(&page, last_confirmed_at)
-                }
+                Some(from) => cache.extend(from, &page, confirmed_at),
+                None if page.next.era() >= cache.next.era() => cache.replace(&page, confirmed_at),
                 // In transit while the store was restored. The caller continues from the end of
                 // this page and is then told of the new era.
                 None => {
@@ -544,7 +542,7 @@
         self.store().store_suspect(suspect).await
     }
 
-    async fn delete_suspect(&self, content: ContentId) -> StoreResult<()> {
-        self.store().delete_suspect(content).await
+    async fn delete_suspect(&self, fingerprint: ContentId) -> StoreResult<()> {
+        self.store().delete_suspect(fingerprint).await
     }
 }
--- a/src/gateway/shared_store/peer_reads.rs
+++ b/src/gateway/shared_store/peer_reads.rs
@@ -36,7 +36,7 @@
             let changed = shard.changed.notified();
             let has_update = {
                 let cache = shard.cache.lock();
-                let can_send_full = request.whole && cache.last_confirmed_at.is_some();
+                let can_send_full = request.whole && cache.confirmed_at.is_some();
                 can_send_full || cache.next > from
             };
             let has_update = has_update || (!was_unavailable && self.is_store_unavailable(subject));
@@ -60,10 +60,10 @@
         let since_failure = self.shard(subject).contact.lock().time_since_failure(now);
         let since_failure = since_failure.filter(|_| self.is_store_unavailable(subject));
         let mut cache = self.shard(subject).cache.lock();
-        let last_confirmed_at = cache
-            .last_confirmed_at
+        let confirmed_at = cache
+            .confirmed_at
             .ok_or_else(|| tonic::Status::unavailable("nothing known yet"))?;
-        let age = now.saturating_sub(last_confirmed_at);
+        let age = now.saturating_sub(confirmed_at);
         if age > self.peer_age_max(subject) && !request.any_age {
             return Err(tonic::Status::unavailable(
                 "the store was not heard of late",
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -22,8 +22,8 @@
     /// Latest record of each key; empty before the first page.
     latest: BTreeMap<String, SiteRecord>,
     /// The most recent records in order; the first one is `recent_records.len()` positions before
-    /// `next`. Empty for the configuration: only its latest record matters, and each record may
-    /// have a megabyte.
+    /// `next`. Empty for the configuration: only its latest record matters, and each record may be
+    /// a megabyte in size.
     recent_records: VecDeque<SiteRecord>,
     /// The evacuated halls. Every page of the configuration subject includes them, since they are
     /// few and small.
@@ -33,7 +33,7 @@
     /// Position of the next record.
     pub(super) next: Position,
     /// Time at which the store last confirmed the data, by this instance's clock.
-    pub(super) last_confirmed_at: Option<Duration>,
+    pub(super) confirmed_at: Option<Duration>,
     /// The last encoded page and its first position. Most peers request the same page.
     encoded: Option<(Position, EncodedPage)>,
     /// The latest record of each key, encoded.
@@ -49,7 +49,7 @@
             evacuated: EvacuatedHalls::default(),
             config_position: Position::default(),
             next: Position::default(),
-            last_confirmed_at: None,
+            confirmed_at: None,
             encoded: None,
             encoded_full: None,
         }
@@ -93,7 +93,7 @@
     }
 
     /// Replaces the cached records by a page with the latest record of each key.
-    pub(super) fn replace(&mut self, page: &SitePage, last_confirmed_at: Duration) {
+    pub(super) fn replace(&mut self, page: &SitePage, confirmed_at: Duration) {
         // A store restored from an older copy may return an older configuration, which must not be
         // served to peers.
         self.latest
@@ -104,7 +104,7 @@
             self.apply_record(record, page.next);
         }
         self.next = page.next;
-        self.last_confirmed_at = Some(last_confirmed_at);
+        self.confirmed_at = Some(confirmed_at);
     }
 
     /// Returns whether a configuration is older than the cached one.
@@ -118,8 +118,8 @@
 
     /// Appends a page that starts at the end of the cached records; other pages only update the
     /// time of confirmation.
-    pub(super) fn extend(&mut self, from: Position, page: &SitePage, last_confirmed_at: Duration) {
-        self.last_confirmed_at = self.last_confirmed_at.max(Some(last_confirmed_at));
+    pub(super) fn extend(&mut self, from: Position, page: &SitePage, confirmed_at: Duration) {
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
         if from != self.next || page.next <= from {
             return;
         }
--- a/tests/platform_records.rs
+++ b/tests/platform_records.rs
@@ -1,5 +1,5 @@
-//! The platform's records with every field altered in turn: missing, of another type, unknown, unreadable. Nothing panics, and an entry at fault names
-//! no endpoint.
+//! Decoding of the platform's records with altered fields: missing, of another type, unknown or
+//! malformed. Decoding must not panic, and an invalid entry must not yield an endpoint.
 
 use larkwick::platform::{engine, operator_config, servers};
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
     })
 }
 
-/// Something else than was there.
+/// Generates replacement values of all JSON types.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -51,16 +51,16 @@
     ]
 }
 
-/// Paths of all fields, nested ones included.
-fn paths(value: &Value, before: &str) -> Vec<String> {
+/// Returns the JSON pointers of all fields, including nested ones.
+fn paths(value: &Value, prefix: &str) -> Vec<String> {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields
             .iter()
-            .map(|(name, child)| (format!("{before}/{name}"), child))
+            .map(|(name, child)| (format!("{prefix}/{name}"), child))
             .collect(),
         Value::Array(items) => (0..)
             .zip(items)
-            .map(|(index, child)| (format!("{before}/{index}"), child))
+            .map(|(index, child)| (format!("{prefix}/{index}"), child))
             .collect(),
         _ => Vec::new(),
     };
@@ -75,9 +75,9 @@
 proptest! {
     #[test]
     fn decode_any_field_altered_no_panic(index in any::<prop::sample::Index>(), altered in any_value()) {
-        for whole in [entry(), configuration(), report()] {
-            let paths = paths(&whole, "");
-            let mut changed = whole.clone();
+        for record in [entry(), configuration(), report()] {
+            let paths = paths(&record, "");
+            let mut changed = record.clone();
             let path: &String = index.get(&paths);
             *changed.pointer_mut(path).expect("a field") = altered.clone();
             let text = changed.to_string();
@@ -96,43 +96,43 @@
 
     #[test]
     fn decode_unknown_field_changes_nothing(name in "[a-z]{3,9}-[0-9]", value in any_value()) {
-        let mut more = entry();
-        more[&name] = value;
+        let mut extended = entry();
+        extended[&name] = value;
         let known = servers::decode("i-1", entry().to_string().as_bytes());
-        prop_assert_eq!(servers::decode("i-1", more.to_string().as_bytes()), known);
+        prop_assert_eq!(servers::decode("i-1", extended.to_string().as_bytes()), known);
     }
 }
 
-/// A pause that no duration can hold ended the instance that read it.
+/// A time too large for `Duration` crashed the instance that decoded it.
 #[test]
-fn decode_configuration_time_beyond_all_no_panic() {
+fn decode_configuration_time_out_of_range_no_panic() {
     for path in [
         "/routes/0/gap_aim_ms",
         "/services/0/engine/handle-s",
         "/services/0/cold-start-s",
     ] {
-        let mut long = configuration();
-        *long.pointer_mut(path).expect("a field") = json!(1.084_001_887_699_931_6e268);
+        let mut oversized = configuration();
+        *oversized.pointer_mut(path).expect("a field") = json!(1.084_001_887_699_931_6e268);
         assert!(
-            operator_config::decode(long.to_string().as_bytes()).is_ok(),
+            operator_config::decode(oversized.to_string().as_bytes()).is_ok(),
             "{path}"
         );
     }
 }
 
 #[test]
-fn decode_entry_needed_field_missing_no_endpoint() {
+fn decode_entry_required_field_missing_no_endpoint() {
     for name in ["service", "addr", "zone", "slots", "state"] {
-        let mut less = entry();
-        less.as_object_mut().expect("an object").remove(name);
-        let decoded = servers::decode("i-1", less.to_string().as_bytes());
+        let mut reduced = entry();
+        reduced.as_object_mut().expect("an object").remove(name);
+        let decoded = servers::decode("i-1", reduced.to_string().as_bytes());
         assert!(decoded.is_err(), "{name}");
     }
 }
 
 #[test]
 fn decode_entry_field_of_another_type_no_endpoint() {
-    let others = [
+    let replacements = [
         ("service", json!(1)),
         ("addr", json!("nowhere")),
         ("zone", json!(null)),
@@ -144,21 +144,24 @@
         ("born", json!("1700000000000")),
         ("born", json!(null)),
     ];
-    for (name, value) in others {
-        let mut other = entry();
-        other[name] = value.clone();
-        let decoded = servers::decode("i-1", other.to_string().as_bytes());
+    for (name, value) in replacements {
+        let mut altered_entry = entry();
+        altered_entry[name] = value.clone();
+        let decoded = servers::decode("i-1", altered_entry.to_string().as_bytes());
         assert!(decoded.is_err(), "{name} {value}");
     }
 }
 
 #[test]
-fn decode_entry_start_is_part_of_its_name() {
+fn decode_entry_start_time_is_part_of_id() {
     let decoded = servers::decode("i-1", entry().to_string().as_bytes()).expect("an entry");
     assert_eq!(decoded.id, "i-1@1700000000000");
     assert_eq!(decoded.listed_id, "i-1");
-    let mut untold = entry();
-    untold.as_object_mut().expect("an object").remove("born");
-    let decoded = servers::decode("i-1", untold.to_string().as_bytes()).expect("an entry");
+    let mut without_start = entry();
+    without_start
+        .as_object_mut()
+        .expect("an object")
+        .remove("born");
+    let decoded = servers::decode("i-1", without_start.to_string().as_bytes()).expect("an entry");
     assert_eq!(decoded.id, "i-1");
 }
--- a/tests/site_endpoints.rs
+++ b/tests/site_endpoints.rs
@@ -1,5 +1,5 @@
-//! Which endpoints take work, through real processes to a stand-in site: halls that are emptied, endpoints that start again under their id or are
-//! cold, entries that cannot be read.
+//! Selection of endpoints, tested with real processes against a stand-in site: evacuated halls,
+//! endpoints restarted under the same id, cold endpoints, and entries that cannot be decoded.
 
 mod support;
 
@@ -11,7 +11,8 @@
 use serde_json::json;
 use support::site::{Instance, RoutedSite, answered, until};
 
-/// Calls that show where calls go; with two endpoints that both take work, all at one of them is rarer than one in a billion.
+/// Number of calls that reveal which endpoints are used. With two usable endpoints, the probability
+/// that all calls reach the same one is below one in a billion.
 const CALLS: usize = 40;
 
 async fn two_halls() -> (RoutedSite, Arc<Server>, Arc<Server>) {
@@ -21,15 +22,15 @@
     (site, first, second)
 }
 
-async fn until_standing(instance: &Instance, server: &Server, expected: &str) {
+async fn wait_for_availability(instance: &Instance, server: &Server, expected: &str) {
     until(expected, async || {
         instance.standing(server).await == expected
     })
     .await;
 }
 
-/// Ids of the servers on which calls ran.
-async fn ran_on(site: &RoutedSite, instance: &Instance, name: &str) -> Vec<String> {
+/// Sends calls and returns the ids of the servers that executed them.
+async fn called_endpoints(site: &RoutedSite, instance: &Instance, name: &str) -> Vec<String> {
     let mut ran = Vec::new();
     for number in 0..CALLS {
         let id = format!("{name}-{number}");
@@ -42,37 +43,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn evacuated_hall_gets_nothing_until_it_is_taken_back() {
+async fn evacuated_hall_gets_no_calls_until_restored() {
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
     site.standin.evacuate("hall-1");
-    until_standing(&instance, &first, "evacuated").await;
+    wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
-    assert_eq!(ran_on(&site, &instance, "emptied").await, only);
+    assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
     site.standin.take_back("hall-1");
-    until_standing(&instance, &first, "ready").await;
-    assert_eq!(ran_on(&site, &instance, "back").await.len(), 2);
+    wait_for_availability(&instance, &first, "ready").await;
+    assert_eq!(called_endpoints(&site, &instance, "back").await.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn evacuated_hall_record_unreadable_still_empties_it() {
+async fn evacuated_hall_record_unreadable_still_evacuates_it() {
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
     let store = &site.standin.store;
     store.put_bytes("keyed.op", "evacuate/hall-1", b"\xff{");
-    until_standing(&instance, &first, "evacuated").await;
+    wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
-    assert_eq!(ran_on(&site, &instance, "emptied").await, only);
+    assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn evacuated_all_halls_refused_at_once() {
+async fn evacuated_all_halls_calls_refused_immediately() {
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
     site.standin.evacuate("hall-1");
     site.standin.evacuate("hall-2");
-    until_standing(&instance, &first, "evacuated").await;
-    until_standing(&instance, &second, "evacuated").await;
+    wait_for_availability(&instance, &first, "evacuated").await;
+    wait_for_availability(&instance, &second, "evacuated").await;
     let answer = instance.call("/once/a", "all").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
@@ -80,22 +81,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn evacuated_hall_known_after_a_start_with_the_store_away() {
+async fn evacuated_hall_known_after_start_during_store_outage() {
     let (site, first, second) = two_halls().await;
     let known = site.instance("n1").await;
     site.standin.evacuate("hall-1");
-    until_standing(&known, &first, "evacuated").await;
+    wait_for_availability(&known, &first, "evacuated").await;
     site.standin.store.set_mood(StoreMood::Busy);
     let started = site.instance_with_seeds("n2", &[&known]);
     started.until_ready().await;
     assert_eq!(started.standing(&first).await, "evacuated");
     let only = [second.id.clone()];
-    assert_eq!(ran_on(&site, &started, "started").await, only);
+    assert_eq!(called_endpoints(&site, &started, "started").await, only);
 }
 
-/// The entry of a former life must not keep the next one out.
+/// The draining entry of an earlier incarnation must not block the next incarnation.
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_started_again_under_its_id_takes_work_again() {
+async fn endpoint_restarted_under_its_id_gets_calls_again() {
     let site = RoutedSite::start(1).await;
     let app = site.apps[0].clone();
     let list = |state: &str, born: u64| {
@@ -105,25 +106,25 @@
     list("ready", 1_000);
     let instance = site.instance("n1").await;
     list("draining", 1_000);
-    until_standing(&instance, &app, "leaving").await;
-    // Within one life it is final.
+    wait_for_availability(&instance, &app, "leaving").await;
+    // Draining is final within an incarnation.
     list("ready", 1_000);
     list("ready", 2_000);
-    until("again", async || {
+    until("calls served again", async || {
         instance.call("/once/a", "a").await.status == 200
     })
     .await;
-    // A late word of the former life changes nothing.
+    // A late entry of the earlier incarnation changes nothing.
     list("draining", 1_000);
     let other = site.standin.server("app", ServerKind::Plain).await;
     let other = other.expect("server starts");
-    until_standing(&instance, &other, "ready").await;
-    assert_eq!(ran_on(&site, &instance, "late").await.len(), 2);
+    wait_for_availability(&instance, &other, "ready").await;
+    assert_eq!(called_endpoints(&site, &instance, "late").await.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_entry_of_another_writer_not_used_and_others_hold() {
-    let foreign = [
+async fn endpoint_entry_malformed_skipped_and_others_used() {
+    let malformed = [
         json!({"zone": null}),
         json!({"slots": null}),
         json!({"state": null}),
@@ -136,7 +137,7 @@
     ];
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
-    for fields in foreign {
+    for fields in malformed {
         let server = site.standin.server_unlisted("app", ServerKind::Plain).await;
         let server = server.expect("server starts");
         site.standin.list_with(&server, &fields);
@@ -145,14 +146,17 @@
     store.put_bytes("keyed.servers", "i-garbled", b"\x00\xff\xfe");
     let last = site.standin.server("app", ServerKind::Plain).await;
     let last = last.expect("server starts");
-    until_standing(&instance, &last, "ready").await;
+    wait_for_availability(&instance, &last, "ready").await;
     let mut expected = vec![site.apps[0].id.clone(), last.id.clone()];
     expected.sort();
-    assert_eq!(ran_on(&site, &instance, "foreign").await, expected);
-    // An instance that reads the whole list takes it the same way.
+    assert_eq!(
+        called_endpoints(&site, &instance, "foreign").await,
+        expected
+    );
+    // An instance that reads the full list treats the entries in the same way.
     let second = site.instance("n2").await;
-    until_standing(&second, &last, "ready").await;
-    assert_eq!(ran_on(&site, &second, "whole").await, expected);
+    wait_for_availability(&second, &last, "ready").await;
+    assert_eq!(called_endpoints(&site, &second, "whole").await, expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -164,7 +168,7 @@
             .store
             .put("keyed.op", "something/new", &json!({}));
     }
-    until("logged", async || {
+    until("unknown key logged", async || {
         instance.has_line("unknown on the platform")
     })
     .await;
@@ -180,18 +184,19 @@
     assert_eq!(unknown.count(), 1);
 }
 
-/// While all endpoints of a service are cold, they get what they bear, and the others are told at once when to come back.
+/// While all endpoints of a service are cold, they get calls up to their sustainable rate. Further
+/// calls are refused immediately with a retry time.
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_cold_gets_no_more_than_it_bears() {
-    const BEARS_PER_S: f64 = 4.0;
+async fn endpoint_cold_gets_no_more_than_sustainable_rate() {
+    const SUSTAINABLE_PER_S: f64 = 4.0;
     let site = RoutedSite::start(0).await;
-    site.standin.publish_cold(3, 60.0, BEARS_PER_S);
+    site.standin.publish_cold(3, 60.0, SUSTAINABLE_PER_S);
     let cold = site.standin.server_unlisted("app", ServerKind::Plain).await;
     let cold = cold.expect("server starts");
     site.standin
         .list_with(&cold, &json!({"cold-left-ms": 60_000}));
     let instance = site.instance("n1").await;
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let calls = (0..50).map(|number| {
         let request = instance.request("/once/a", &format!("cold-{number}"));
         tokio::spawn(answered(request))
@@ -207,32 +212,37 @@
             assert!(answer.retry_after.is_some());
         }
     }
-    // In any second so many, however long the machine took.
-    let most = BEARS_PER_S * (begun.elapsed().as_secs_f64() + 1.0);
+    // The bound grows with the elapsed time, so it also holds on a slow machine.
+    let max_served = SUSTAINABLE_PER_S * (started_at.elapsed().as_secs_f64() + 1.0);
     assert!(
-        served >= 1 && f64::from(served) <= most,
-        "{served} of {most} served"
+        served >= 1 && f64::from(served) <= max_served,
+        "{served} calls served, at most {max_served} expected"
     );
 }
 
-/// An answer that another endpoint is there is news: who was expected is not asked again by the next.
+/// Once a response shows that another endpoint now serves the address, later calls are not sent to
+/// the replaced endpoint.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_replaced_at_its_address_asked_once() {
+async fn engine_replaced_at_its_address_called_at_most_once() {
     let site = RoutedSite::start(0).await;
     let engine = site.engine().await;
-    let gone = site
+    let replaced = site
         .standin
         .server_unlisted("llm", larkwick::standin::site::server::ServerKind::Engine);
-    let gone = gone.await.expect("server starts");
-    gone.set_fault(ServerFault::Misdirects);
-    site.standin.list(&gone, "ready");
+    let replaced = replaced.await.expect("server starts");
+    replaced.set_fault(ServerFault::Misdirects);
+    site.standin.list(&replaced, "ready");
     let instance = site.instance("n1").await;
-    until_standing(&instance, &gone, "ready").await;
+    wait_for_availability(&instance, &replaced, "ready").await;
     for number in 0..8 {
         let answer = answered(instance.generation(2, &format!("g{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
     assert_eq!(engine.requests(), 8);
-    assert!(gone.requests() <= 1, "{} asked", gone.requests());
+    assert!(
+        replaced.requests() <= 1,
+        "{} requests to the replaced engine",
+        replaced.requests()
+    );
 }
--- a/tests/store_copies.rs
+++ b/tests/store_copies.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from an older copy: what was written since is gone and its offsets are given out again, with other records.
+//! Restoring the store from an older copy: later writes are lost, and their offsets are reassigned
+//! to other records.
 
 mod support;
 
@@ -7,34 +8,40 @@
 use serde_json::json;
 use support::site::{RoutedSite, until};
 
-/// A reader that goes on from its old offset gets other records under it, and never hears of those before.
+/// A reader that continued from its old offset would receive other records there and miss the new
+/// records at lower offsets.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_offsets_given_out_again_none_of_their_records_missed() {
+async fn restored_copy_offsets_reassigned_no_records_missed() {
     let site = RoutedSite::start(1).await;
     let mut copy = site.standin.store.copy();
     let lost = site.standin.server("app", ServerKind::Plain).await.unwrap();
     let instance = site.instance("n1").await;
-    until("listed", async || instance.standing(&lost).await == "ready").await;
+    until("endpoint listed", async || {
+        instance.standing(&lost).await == "ready"
+    })
+    .await;
     let new = site
         .standin
         .server_unlisted("app", ServerKind::Plain)
         .await
         .unwrap();
-    // As many records as were lost, of another one.
+    // As many records as were lost, but of another endpoint.
     let entry = SiteStandin::entry(&new, &json!({}));
     copy.put("keyed.servers", &new.id, &entry);
     let _ = site.standin.store.come_back_from(copy);
     site.standin.list(&lost, "ready");
     for server in [&new, &lost] {
-        until("listed after the return", async || {
+        until("endpoint listed after the restore", async || {
             instance.standing(server).await == "ready"
         })
         .await;
     }
 }
 
+/// An order written after the restore gets a lower offset than the records read before it, and must
+/// still be read.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_hall_emptied_again_at_a_lower_offset_emptied() {
+async fn restored_copy_hall_evacuated_at_lower_offset_evacuated() {
     let site = RoutedSite::start(2).await;
     let app = &site.apps[0];
     site.standin.list_with(app, &json!({"zone": "hall-9"}));
@@ -48,16 +55,17 @@
     let _ = site.standin.store.come_back_from(copy);
     site.standin.evacuate("hall-9");
     for instance in [&first, &second] {
-        until("emptied", async || {
+        until("hall evacuated", async || {
             instance.standing(app).await == "evacuated"
         })
         .await;
     }
 }
 
-/// An order that the copy lacks holds until it is written again, and a key that was taken away stays taken away.
+/// An evacuation order that the copy lacks stays in force until it is written again, and a revoked
+/// API key stays revoked.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_without_what_was_acknowledged_what_is_known_holds() {
+async fn restored_copy_lacks_acknowledged_records_known_state_kept() {
     let site = RoutedSite::start(2).await;
     let app = &site.apps[0];
     site.standin.list_with(app, &json!({"zone": "hall-9"}));
@@ -65,16 +73,16 @@
     let instance = site.instance("n1").await;
     site.standin.evacuate("hall-9");
     site.standin.publish(3, &["another-key"]);
-    until("emptied", async || {
+    until("hall evacuated", async || {
         instance.standing(app).await == "evacuated"
     })
     .await;
-    until("revoked", async || {
+    until("key revoked", async || {
         instance.call("/once/a", "revoked").await.status == 401
     })
     .await;
     let before = site.standin.store.come_back_from(copy);
-    until("heard of", async || {
+    until("restore logged", async || {
         instance.has_line("store came back from an older copy")
     })
     .await;
@@ -85,16 +93,16 @@
     }
     site.standin.store.write_again(&before);
     site.standin.publish(4, &[KEY]);
-    until("the next one in force", async || {
+    until("next configuration in force", async || {
         instance.call("/once/a", "next").await.status == 200
     })
     .await;
     assert_eq!(instance.standing(app).await, "evacuated");
 }
 
-/// What the instances wrote themselves and the copy lacks is written again by the one that knows it.
+/// An instance rewrites its own entry if the restored copy lacks it.
 #[tokio::test(flavor = "multi_thread")]
-async fn copy_without_own_entries_written_again() {
+async fn restored_copy_lacks_own_entry_entry_rewritten() {
     let site = RoutedSite::start(1).await;
     let copy = site.standin.store.copy();
     let _instance = site.instance("n1").await;
@@ -104,14 +112,14 @@
             .keys("keyed.status")
             .contains(&"n1".to_owned())
     };
-    until("announced", async || is_announced()).await;
+    until("entry written", async || is_announced()).await;
     let _ = site.standin.store.come_back_from(copy);
-    until("announced again", async || is_announced()).await;
+    until("entry written again", async || is_announced()).await;
 }
 
-/// An era that cannot be one changes nothing: the last sound one holds, and what is written is heard of.
+/// An invalid era is ignored: the last valid one stays, and new records are still read.
 #[tokio::test(flavor = "multi_thread")]
-async fn era_unsound_last_sound_one_holds() {
+async fn era_invalid_last_valid_era_kept() {
     let site = RoutedSite::start(1).await;
     let store = &site.standin.store;
     for _ in 0..2 {
@@ -119,20 +127,24 @@
     }
     let instance = site.instance("n1").await;
     let mut version = 2;
-    for told in ["18446744073709551615", "-1", "soon", "", "2.5"] {
-        store.tell_era(Some(told));
+    for text in ["18446744073709551615", "-1", "soon", "", "2.5"] {
+        store.tell_era(Some(text));
         version += 1;
         site.standin.publish(version, &[KEY]);
-        until("in force", async || {
+        until("configuration in force", async || {
             instance.state().await["config_version"] == version
         })
         .await;
-        assert_eq!(instance.state().await["store_era"], 2, "told {told:?}");
+        assert_eq!(
+            instance.state().await["store_era"],
+            2,
+            "era sent as {text:?}"
+        );
     }
     store.tell_era(None);
     let before = store.come_back_from(store.copy());
     store.write_again(&before);
-    until("the next era", async || {
+    until("next era", async || {
         instance.state().await["store_era"] == 3
     })
     .await;
