--- a/src/daemon/endpoints.rs
+++ b/src/daemon/endpoints.rs
@@ -225,7 +225,7 @@
         }
         node.endpoints
             .take_report(&object.name, report.clone(), node.now());
-        node.groups.report(&object.name, &report);
+        node.groups.record_load_report(&object.name, &report);
         poll_cache(&node, &object.name, client.as_ref()).await;
     } else {
         metrics::counter!("larkwick_endpoint_poll_failures_total").increment(1);
@@ -239,7 +239,7 @@
     let Ok(Ok(events)) = asked else { return };
     // A gap only means that some prefixes are unknown: affinity is a hint.
     for event in &events {
-        node.groups.cached(name, event.prefix);
+        node.groups.record_cached_prefix(name, event.prefix);
     }
     if let Some(last) = events.last() {
         node.endpoints.set_cache_sequence(name, last.sequence);
@@ -256,7 +256,7 @@
         matches!(endpoint.role, EndpointRole::Service { .. })
             && node.endpoints.has_client(&endpoint.name)
     };
-    let used = node.used_endpoints();
+    let used = node.endpoints_to_poll();
     let whole_hall = round.is_multiple_of(HALL_EVERY) && node.holds_lease();
     let ordered = |endpoint: &EndpointObject| whole_hall && endpoint.hall == node.settings.hall;
     let polled = all.filter(|endpoint| {
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -1,4 +1,6 @@
-//! A generation: started on an engine, followed token by token, resumed after a cut, replayed only where that is verified.
+//! Runs a generation: starts it on an engine, forwards its tokens to the caller and resumes it after
+//! a lost connection. If the engine loses it, a repeatable generation is replayed on another engine,
+//! but only if no token has been delivered yet or the replayed tokens can be verified.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,8 +13,8 @@
 
 use super::answer::{AnswerEvent, AnswerSink};
 use super::endpoints::is_departed;
+use super::engine_selection::{SelectedEndpoint, SelectionRequest};
 use super::node::{Node, Phase};
-use super::place::{Place, PlaceWanted};
 use super::request::{CallerRequest, GenerationAsked};
 use super::reservations::Reservation;
 use crate::endpoint::protocol::{EngineEvent, FinishReason, GenerationRequest, Started};
@@ -25,101 +27,106 @@
 use crate::settings::ms;
 use crate::standin::engine_core::prompt_tokens;
 
-/// Beginning of a prompt that decides its cache affinity.
+/// Length of the prompt prefix whose hash determines prefix-cache affinity.
 const PREFIX_BYTES: usize = 256;
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between attempts to reconnect to a generation.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of endpoints on which the start of a generation is attempted.
 const STARTS_MAX: usize = 4;
 
-/// Where a stream came to its end, or why it did not.
-enum Followed {
-    /// The last event has been passed on, or nobody reads any more.
-    Ended,
-    /// The caller went away; the generation may be taken up elsewhere.
+/// How forwarding a generation's stream ended.
+enum StreamOutcome {
+    /// The last event was sent; the caller may have disconnected before reading it.
+    Finished,
+    /// The caller disconnected or was sent to another entry, where it may resume the generation.
     Abandoned,
-    /// The engine lost the generation.
+    /// The engine lost the generation, for the given reason.
     Lost(String),
-    /// The tokens of a replay differ from those delivered.
-    Differs,
+    /// The tokens differ from those already delivered, or end before them.
+    TokenMismatch,
 }
 
-/// A generation on its way to a caller.
-struct Run<'a> {
+/// A generation that is being forwarded to a caller.
+struct GenerationRun<'a> {
     node: &'a Arc<Node>,
     sink: &'a AnswerSink,
     account: &'a str,
-    /// The model, for the placement's demand; empty for a generation taken up from elsewhere.
+    /// Model name under which token demand is counted for model placement; empty for a resumed
+    /// generation, which is not counted.
     model: &'a str,
-    /// Whether the answer is streamed, and so can be moved.
+    /// Whether the response is streamed. Only a streamed response can move to another entry.
     streamed: bool,
     cursor: TokenCursor,
-    /// Hash of each token passed on, to verify a replay; indexes before the cursor's start are missing after a resume.
+    /// Hash of each token delivered, to verify a replay. After a resume, the tokens before the
+    /// index at which the cursor started are not included.
     delivered: Vec<u32>,
     phase: watch::Receiver<Phase>,
 }
 
-/// Where a generation runs.
-struct Source {
+/// A generation as it runs on an engine.
+struct EngineGeneration {
     client: Arc<dyn Endpoint>,
     generation: GenerationId,
     prompt_tokens: u32,
     reservation: Option<Reservation>,
 }
 
+/// Returns the first four bytes of a token's BLAKE3 hash, as a little-endian integer.
 fn token_hash(text: &str) -> u32 {
-    let mut first = [0; 4];
-    first.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..4]);
-    u32::from_le_bytes(first)
+    let mut prefix = [0; 4];
+    prefix.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..4]);
+    u32::from_le_bytes(prefix)
 }
 
-/// Hash of the beginning of a prompt.
-fn prefix_of(model: &str, prompt: &str) -> u64 {
+/// Returns the hash of the first [`PREFIX_BYTES`] bytes of a prompt, salted with the model name.
+fn prefix_hash(model: &str, prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
-    let beginning = String::from_utf8_lossy(&bytes[..bytes.len().min(PREFIX_BYTES)]);
-    rendezvous_weight(model, &beginning)
+    let prefix = String::from_utf8_lossy(&bytes[..bytes.len().min(PREFIX_BYTES)]);
+    rendezvous_weight(model, &prefix)
 }
 
-/// Runs a new generation and writes its answer.
+/// Runs a new generation and sends its events, or the error that ended it, to `sink`.
 pub(crate) async fn run(
     node: &Arc<Node>,
     request: &CallerRequest,
-    asked: &GenerationAsked,
+    params: &GenerationAsked,
     sink: &AnswerSink,
 ) {
-    if let Err(error) = run_to_end(node, request, asked, sink).await {
+    if let Err(error) = try_run(node, request, params, sink).await {
         metrics::counter!("larkwick_errors_total", "kind" => format!("{:?}", error.kind))
             .increment(1);
         sink.send(error.into()).await;
     }
 }
 
-async fn run_to_end(
+async fn try_run(
     node: &Arc<Node>,
     request: &CallerRequest,
-    asked: &GenerationAsked,
+    params: &GenerationAsked,
     sink: &AnswerSink,
 ) -> Result<()> {
     let catalog = node.catalog();
     let account = catalog.account_for_key(&request.bearer_key)?;
-    let model = catalog.model(&asked.model)?;
-    let mut run = Run {
+    let model = catalog.model(&params.model)?;
+    let mut run = GenerationRun {
         node,
         sink,
         account: &account.name,
         model: &model.name,
-        streamed: asked.streamed,
+        streamed: params.streamed,
         cursor: TokenCursor::starting_at(0),
         delivered: Vec::new(),
         phase: node.work.watch_phase(),
     };
-    let deadline = request.options.deadline;
-    let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
-    let mut start = Start {
+    let timeout = request.options.deadline;
+    let deadline = node.now() + timeout.unwrap_or(ms(node.settings.times.deadline_ms));
+    let mut start = StartContext {
         request,
-        asked,
+        params,
         account,
         model,
-        seed: asked.seed.unwrap_or_else(|| rand::rng().next_u64()),
-        max_tokens: asked
+        seed: params.seed.unwrap_or_else(|| rand::rng().next_u64()),
+        max_tokens: params
             .max_tokens
             .unwrap_or(u32::MAX)
             .min(model.max_output_tokens),
@@ -129,44 +136,48 @@
     };
     node.count_first_try(&account.name);
     loop {
-        let (source, stream) = run.start(&mut start).await?;
+        let (source, stream) = run.start_generation(&mut start).await?;
         let endpoint = source.generation.endpoint.clone();
-        match run.follow(source, stream).await {
-            Followed::Ended | Followed::Abandoned => return Ok(()),
-            Followed::Differs => return Err(lost("a replay gave other tokens")),
-            Followed::Lost(why) => {
-                let nothing_delivered = run.cursor.next_index() == 0;
-                let may_run_again =
-                    request.options.repeatable && (nothing_delivered || model.reproducible);
-                warn!("generation lost", kv: { request_id: = request.request_id, why = why.as_str() });
-                if !may_run_again || !node.take_retry(&account.name) {
-                    return Err(lost(&why));
+        match run.forward_stream(source, stream).await {
+            StreamOutcome::Finished | StreamOutcome::Abandoned => return Ok(()),
+            StreamOutcome::TokenMismatch => {
+                return Err(generation_lost("a replay gave other tokens"));
+            }
+            StreamOutcome::Lost(reason) => {
+                let none_delivered = run.cursor.next_index() == 0;
+                let can_replay =
+                    request.options.repeatable && (none_delivered || model.reproducible);
+                warn!("generation lost", kv: { request_id: = request.request_id, why = reason.as_str() });
+                if !can_replay || !node.take_retry(&account.name) {
+                    return Err(generation_lost(&reason));
                 }
-                start.failures.record(Failed::MayHaveRun(lost(&why)));
+                start
+                    .failures
+                    .record(Failed::MayHaveRun(generation_lost(&reason)));
                 start.excluded.insert(endpoint);
-                // The replay is checked from its first token on.
+                // The replay is compared with the delivered tokens from its first token on.
                 metrics::counter!("larkwick_replays_total").increment(1);
             }
         }
     }
 }
 
-/// Nobody reads this error; it only ends the run.
-fn caller_gone() -> Error {
-    Error::new(ErrorKind::BadRequest, "the caller went away")
+/// Error that ends the run after the caller disconnected; no one receives it.
+fn caller_disconnected() -> Error {
+    Error::new(ErrorKind::BadRequest, "the caller disconnected")
 }
 
-fn lost(why: &str) -> Error {
+fn generation_lost(reason: &str) -> Error {
     Error::new(
         ErrorKind::GenerationLost,
-        format!("the generation was lost: {why}"),
+        format!("the generation was lost: {reason}"),
     )
 }
 
-/// What is needed to start a generation, and what became of earlier starts.
-struct Start<'a> {
+/// The parameters for starting a generation, with the endpoints and errors of failed attempts.
+struct StartContext<'a> {
     request: &'a CallerRequest,
-    asked: &'a GenerationAsked,
+    params: &'a GenerationAsked,
     account: &'a ClientAccount,
     model: &'a Model,
     seed: u64,
@@ -176,47 +187,57 @@
     failures: FailedAttempts,
 }
 
-impl Start<'_> {
-    fn generation_request(&self, attempt: &Unsent, place: &Place) -> GenerationRequest {
+impl StartContext<'_> {
+    fn generation_request(
+        &self,
+        attempt: &Unsent,
+        selected: &SelectedEndpoint,
+    ) -> GenerationRequest {
         GenerationRequest {
             request_id: self.request.request_id,
             attempt_id: attempt.attempt_id,
             account: self.account.name.clone(),
             model: self.model.name.clone(),
-            version: place.version.clone(),
-            prompt: self.asked.prompt.clone(),
-            prefix: prefix_of(&self.model.name, &self.asked.prompt),
+            version: selected.version.clone(),
+            prompt: self.params.prompt.clone(),
+            prefix: prefix_hash(&self.model.name, &self.params.prompt),
             max_tokens: self.max_tokens,
             seed: self.seed,
-            priority: place.priority,
+            priority: selected.priority,
         }
     }
 }
 
-impl Run<'_> {
-    /// Starts the generation somewhere, trying other endpoints while nothing forbids it.
-    async fn start(&mut self, start: &mut Start<'_>) -> Result<(Source, EngineStream)> {
+impl GenerationRun<'_> {
+    /// Starts the generation on an endpoint, and on failure tries others.
+    ///
+    /// Stops after [`STARTS_MAX`] endpoints, when the account's retry budget is used up, or when a
+    /// request that is not repeatable may have run.
+    async fn start_generation(
+        &mut self,
+        start: &mut StartContext<'_>,
+    ) -> Result<(EngineGeneration, EngineStream)> {
         let repeatable = start.request.options.repeatable;
-        for tries in 0..STARTS_MAX {
-            if tries > 0 && !self.node.take_retry(&start.account.name) {
+        for attempt in 0..STARTS_MAX {
+            if attempt > 0 && !self.node.take_retry(&start.account.name) {
                 break;
             }
-            let wanted = PlaceWanted {
+            let selection = SelectionRequest {
                 account: start.account,
                 model: start.model,
-                prompt_tokens: prompt_tokens(&start.asked.prompt),
+                prompt_tokens: prompt_tokens(&start.params.prompt),
                 max_tokens: start.max_tokens,
-                prefix: prefix_of(&start.model.name, &start.asked.prompt),
+                prefix: prefix_hash(&start.model.name, &start.params.prompt),
                 deadline: start.deadline.saturating_sub(self.node.now()),
                 excluded: &start.excluded,
             };
-            let place = tokio::select! {
-                place = self.node.find_place(&wanted) => place,
-                () = self.sink.abandoned() => return Err(caller_gone()),
+            let selected = tokio::select! {
+                selected = self.node.select_engine(&selection) => selected,
+                () = self.sink.abandoned() => return Err(caller_disconnected()),
             };
-            let place = place.map_err(|error| start.failures.error(error))?;
-            let endpoint = place.endpoint.name.clone();
-            match self.attempt(start, place).await {
+            let selected = selected.map_err(|error| start.failures.error(error))?;
+            let endpoint = selected.endpoint.name.clone();
+            match self.start_on(start, selected).await {
                 Ok(started) => return Ok(started),
                 Err(Failed::MayHaveRun(error)) if !repeatable => return Err(error),
                 Err(failed) => start.failures.record(failed),
@@ -229,33 +250,36 @@
         )))
     }
 
-    async fn attempt(
+    /// Starts the generation on the selected endpoint, unless that has departed.
+    async fn start_on(
         &self,
-        start: &Start<'_>,
-        place: Place,
-    ) -> Result<(Source, EngineStream), Failed> {
+        start: &StartContext<'_>,
+        selected: SelectedEndpoint,
+    ) -> Result<(EngineGeneration, EngineStream), Failed> {
         let attempt = Unsent::default();
-        let name = place.endpoint.name.clone();
-        // The last step before sending: news of a departure may have come since the choice.
-        if is_departed(self.node, &name, place.incarnation) {
+        let name = selected.endpoint.name.clone();
+        // Last check before sending: the endpoint may have departed since it was selected.
+        if is_departed(self.node, &name, selected.incarnation) {
             return Err(attempt.not_connected(&name));
         }
-        let Some(client) = self.node.endpoints.client(&place.endpoint) else {
+        let Some(client) = self.node.endpoints.client(&selected.endpoint) else {
             return Err(attempt.not_connected(&name));
         };
-        let request = start.generation_request(&attempt, &place);
+        let request = start.generation_request(&attempt, &selected);
         let request_id = request.request_id;
         let attempt_id = request.attempt_id;
         info!("attempt", kv: { request_id:, attempt_id:, endpoint = name.as_str() });
         let mut stream = client.generate(attempt, &request).await?;
         let Some(Ok(EngineEvent::Started(started))) = stream.next().await else {
-            return Err(Failed::MayHaveRun(lost("the engine named no generation")));
+            return Err(Failed::MayHaveRun(generation_lost(
+                "the engine named no generation",
+            )));
         };
-        let source = Source {
+        let source = EngineGeneration {
             generation: generation_id(&name, &started),
             client,
             prompt_tokens: started.prompt_tokens,
-            reservation: place.reservation,
+            reservation: selected.reservation,
         };
         if let Some(reservation) = &source.reservation {
             reservation.set_generation(&source.generation.to_string());
@@ -263,38 +287,50 @@
         Ok((source, stream))
     }
 
-    /// Passes tokens on until the generation ends, resuming it on the same engine after cuts and silences.
-    async fn follow(&mut self, source: Source, mut stream: EngineStream) -> Followed {
-        // A replay is read from its first token; what was delivered already is compared instead of passed on.
+    /// Forwards tokens until the generation ends. After a lost connection or a stall it resumes the
+    /// generation on the same engine.
+    async fn forward_stream(
+        &mut self,
+        source: EngineGeneration,
+        mut stream: EngineStream,
+    ) -> StreamOutcome {
+        // A replay is read from its first token; tokens delivered before are compared instead of
+        // delivered again.
         let mut position = TokenCursor::starting_at(if self.delivered.is_empty() {
             self.cursor.next_index()
         } else {
             0
         });
         loop {
-            match self.read(&source, &mut stream, &mut position).await {
-                Read::End(followed) => {
-                    self.settle(source, &followed);
-                    return followed;
+            match self
+                .forward_events(&source, &mut stream, &mut position)
+                .await
+            {
+                ReadOutcome::Ended(outcome) => {
+                    self.clean_up(source, &outcome);
+                    return outcome;
                 }
-                Read::Broken => match self.reconnect(&source, position.next_index()).await {
-                    Ok(resumed) => stream = resumed,
-                    Err(why) => {
-                        let followed = Followed::Lost(why);
-                        self.settle(source, &followed);
-                        return followed;
+                ReadOutcome::Disconnected => {
+                    match self.reconnect(&source, position.next_index()).await {
+                        Ok(resumed) => stream = resumed,
+                        Err(reason) => {
+                            let outcome = StreamOutcome::Lost(reason);
+                            self.clean_up(source, &outcome);
+                            return outcome;
+                        }
                     }
-                },
+                }
             }
         }
     }
 
-    /// Cleans up after a generation that nobody follows here any more.
-    fn settle(&self, source: Source, followed: &Followed) {
-        match followed {
-            Followed::Ended => {}
-            Followed::Abandoned => {
-                // Without an event id nobody can come back for it.
+    /// Cancels a generation that this instance no longer forwards, unless it ran to its end.
+    fn clean_up(&self, source: EngineGeneration, outcome: &StreamOutcome) {
+        match outcome {
+            StreamOutcome::Finished => {}
+            StreamOutcome::Abandoned => {
+                // Without an event id the caller cannot resume the generation, so cancel it at
+                // once.
                 let resumable = self.cursor.next_index() > 0;
                 let resume_ms = self.node.settings.times.resume_ms;
                 tokio::spawn(async move {
@@ -302,82 +338,95 @@
                     cancel(&source, true).await;
                 });
             }
-            Followed::Lost(_) | Followed::Differs => {
+            StreamOutcome::Lost(_) | StreamOutcome::TokenMismatch => {
                 tokio::spawn(async move { cancel(&source, false).await });
             }
         }
     }
 
-    async fn read(
+    /// Forwards events from one connection until the generation or the connection ends.
+    async fn forward_events(
         &mut self,
-        source: &Source,
+        source: &EngineGeneration,
         stream: &mut EngineStream,
         position: &mut TokenCursor,
-    ) -> Read {
+    ) -> ReadOutcome {
         let stall = ms(self.node.settings.times.stall_ms);
         loop {
-            let may_move = self.streamed && self.cursor.next_index() > 0;
+            let can_move = self.streamed && self.cursor.next_index() > 0;
             let event = tokio::select! {
                 event = tokio::time::timeout(stall, stream.next()) => event,
-                () = self.sink.abandoned() => return Read::End(Followed::Abandoned),
-                () = moving(&mut self.phase), if may_move => {
+                () = self.sink.abandoned() => return ReadOutcome::Ended(StreamOutcome::Abandoned),
+                () = wait_until_moving(&mut self.phase), if can_move => {
                     self.send_moved().await;
-                    return Read::End(Followed::Abandoned);
+                    return ReadOutcome::Ended(StreamOutcome::Abandoned);
                 }
             };
             match event {
                 Err(_) => {
                     metrics::counter!("larkwick_stalls_total").increment(1);
-                    return Read::Broken;
+                    return ReadOutcome::Disconnected;
                 }
-                Ok(None | Some(Err(_))) => return Read::Broken,
+                Ok(None | Some(Err(_))) => return ReadOutcome::Disconnected,
                 Ok(Some(Ok(event))) => {
-                    if let Some(read) = self.take(source, event, position).await {
-                        return read;
+                    if let Some(outcome) = self.handle_event(source, event, position).await {
+                        return outcome;
                     }
                 }
             }
         }
     }
 
-    /// Takes one event; `None` where reading goes on.
-    async fn take(
+    /// Handles one event. Returns `None` if reading continues.
+    async fn handle_event(
         &mut self,
-        source: &Source,
+        source: &EngineGeneration,
         event: EngineEvent,
         position: &mut TokenCursor,
-    ) -> Option<Read> {
+    ) -> Option<ReadOutcome> {
         match event {
             EngineEvent::Started(_) => None,
             EngineEvent::Token { index, text } => match position.accept(index) {
                 TokenAction::Duplicate => None,
                 TokenAction::Gap => {
                     metrics::counter!("larkwick_token_gaps_total").increment(1);
-                    Some(Read::Broken)
+                    Some(ReadOutcome::Disconnected)
                 }
-                TokenAction::Deliver => self.deliver(source, index, text).await.map(Read::End),
+                TokenAction::Deliver => self
+                    .deliver_token(source, index, text)
+                    .await
+                    .map(ReadOutcome::Ended),
             },
             EngineEvent::Done { reason, tokens } => {
                 if position.next_index() != tokens {
-                    return Some(Read::Broken);
+                    return Some(ReadOutcome::Disconnected);
                 }
-                Some(Read::End(self.finish(source, reason, tokens).await))
+                Some(ReadOutcome::Ended(
+                    self.deliver_done(source, reason, tokens).await,
+                ))
+            }
+            EngineEvent::Failed { message } => {
+                Some(ReadOutcome::Ended(StreamOutcome::Lost(message)))
             }
-            EngineEvent::Failed { message } => Some(Read::End(Followed::Lost(message))),
         }
     }
 
-    /// Passes a token on, or compares it where it was passed on before.
-    async fn deliver(&mut self, source: &Source, index: u32, text: String) -> Option<Followed> {
+    /// Delivers a token, or compares it with the token already delivered at the same index.
+    async fn deliver_token(
+        &mut self,
+        source: &EngineGeneration,
+        index: u32,
+        text: String,
+    ) -> Option<StreamOutcome> {
         let hash = token_hash(&text);
         if index < self.cursor.next_index() {
-            let seen = self.delivered.get(index as usize);
-            return (seen != Some(&hash)).then_some(Followed::Differs);
+            let delivered = self.delivered.get(index as usize);
+            return (delivered != Some(&hash)).then_some(StreamOutcome::TokenMismatch);
         }
         self.cursor.accept(index);
         self.delivered.push(hash);
         if let Some(reservation) = &source.reservation {
-            reservation.set_made(index + 1);
+            reservation.set_generated_tokens(index + 1);
         }
         let id = EventId {
             generation: source.generation.clone(),
@@ -387,16 +436,22 @@
             id: id.to_string(),
             text,
         };
-        let read = self.sink.send(event).await;
-        (!read).then_some(Followed::Abandoned)
+        let is_open = self.sink.send(event).await;
+        (!is_open).then_some(StreamOutcome::Abandoned)
     }
 
-    async fn finish(&mut self, source: &Source, reason: FinishReason, tokens: u32) -> Followed {
+    /// Records the final length and sends the last event to the caller.
+    async fn deliver_done(
+        &mut self,
+        source: &EngineGeneration,
+        reason: FinishReason,
+        tokens: u32,
+    ) -> StreamOutcome {
         if tokens < self.cursor.next_index() {
-            return Followed::Differs;
+            return StreamOutcome::TokenMismatch;
         }
         if let Some(reservation) = &source.reservation {
-            reservation.set_made(tokens);
+            reservation.set_generated_tokens(tokens);
             reservation.set_finished();
         }
         if !self.model.is_empty() {
@@ -408,19 +463,26 @@
             tokens,
         };
         self.sink.send(event).await;
-        Followed::Ended
+        StreamOutcome::Finished
     }
 
+    /// Tells the caller which other entries it can resume the stream at.
     async fn send_moved(&self) {
         let entries = self.node.other_entries();
         metrics::counter!("larkwick_streams_moved_total").increment(1);
         self.sink.send(AnswerEvent::Moved { entries }).await;
     }
 
-    /// Opens a new connection to the same generation.
-    async fn reconnect(&self, source: &Source, index: u32) -> Result<EngineStream, String> {
-        let patience = ms(self.node.settings.times.resume_patience_ms);
-        let give_up = self.node.now() + patience;
+    /// Opens a new connection to the same generation, to read it from token `index` on.
+    ///
+    /// Retries while the engine is unreachable, until `resume_patience_ms` have passed.
+    async fn reconnect(
+        &self,
+        source: &EngineGeneration,
+        index: u32,
+    ) -> Result<EngineStream, String> {
+        let timeout = ms(self.node.settings.times.resume_patience_ms);
+        let retry_until = self.node.now() + timeout;
         let from = ResumeFrom {
             number: source.generation.number,
             incarnation: source.generation.incarnation,
@@ -432,22 +494,23 @@
             match source.client.resume(&from).await {
                 Ok(stream) => return Ok(stream),
                 Err(error @ ResumeError::Unknown) => return Err(error.to_string()),
-                Err(error) if self.node.now() >= give_up => return Err(error.to_string()),
-                Err(ResumeError::Unreachable(_)) => tokio::time::sleep(RESUME_PAUSE).await,
+                Err(error) if self.node.now() >= retry_until => return Err(error.to_string()),
+                Err(ResumeError::Unreachable(_)) => tokio::time::sleep(RESUME_RETRY_INTERVAL).await,
             }
         }
     }
 }
 
 /// Why reading from one connection ended.
-enum Read {
-    /// The generation is over for this run.
-    End(Followed),
-    /// Only the connection.
-    Broken,
+enum ReadOutcome {
+    /// This run has ended.
+    Ended(StreamOutcome),
+    /// Only the connection was lost; the generation can be resumed.
+    Disconnected,
 }
 
-async fn moving(phase: &mut watch::Receiver<Phase>) {
+/// Waits until this instance starts to move its streams; pends forever if the phase channel closes.
+async fn wait_until_moving(phase: &mut watch::Receiver<Phase>) {
     if phase
         .wait_for(|phase| *phase >= Phase::Moving)
         .await
@@ -465,7 +528,8 @@
     }
 }
 
-async fn cancel(source: &Source, unless_read: bool) {
+/// Cancels a generation on its engine; with `unless_read`, only if no caller is reading it.
+async fn cancel(source: &EngineGeneration, unless_read: bool) {
     let generation = &source.generation;
     source
         .client
@@ -473,7 +537,7 @@
         .await;
 }
 
-/// Cancels a generation by its id, unless somebody reads it.
+/// Cancels the generation with the given id, unless a caller is reading it.
 pub(crate) async fn cancel_by_id(node: &Arc<Node>, generation: &str) {
     let Ok(id) = format!("{generation}:0").parse::<EventId>() else {
         return;
@@ -489,19 +553,19 @@
         .await;
 }
 
-/// Takes a generation up after the last event that its caller has.
+/// Resumes a generation after the last event that its caller received.
 pub(crate) async fn resume(
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
     sink: &AnswerSink,
 ) {
-    if let Err(error) = resume_to_end(node, request, last_event_id, sink).await {
+    if let Err(error) = try_resume(node, request, last_event_id, sink).await {
         sink.send(error.into()).await;
     }
 }
 
-async fn resume_to_end(
+async fn try_resume(
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
@@ -514,13 +578,13 @@
     let account = catalog.account_for_key(&request.bearer_key)?;
     let object = catalog
         .endpoint(&id.generation.endpoint)
-        .ok_or_else(|| lost("its endpoint is not published any more"))?;
+        .ok_or_else(|| generation_lost("its endpoint is not published any more"))?;
     let client = node
         .endpoints
         .client(object)
-        .ok_or_else(|| lost("its endpoint's plug-in is not known here"))?;
+        .ok_or_else(|| generation_lost("its endpoint's plug-in is not known here"))?;
     let next_index = id.index.saturating_add(1);
-    let mut run = Run {
+    let mut run = GenerationRun {
         node,
         sink,
         account: &account.name,
@@ -530,7 +594,7 @@
         delivered: Vec::new(),
         phase: node.work.watch_phase(),
     };
-    let mut source = Source {
+    let mut source = EngineGeneration {
         client,
         generation: id.generation,
         prompt_tokens: 0,
@@ -539,13 +603,13 @@
     let mut stream = run
         .reconnect(&source, next_index)
         .await
-        .map_err(|why| lost(&why))?;
+        .map_err(|reason| generation_lost(&reason))?;
     if let Some(Ok(EngineEvent::Started(started))) = stream.next().await {
         source.prompt_tokens = started.prompt_tokens;
     }
-    match run.follow(source, stream).await {
-        Followed::Ended | Followed::Abandoned => Ok(()),
-        Followed::Lost(why) => Err(lost(&why)),
-        Followed::Differs => Err(lost("the engine gave other tokens")),
+    match run.forward_stream(source, stream).await {
+        StreamOutcome::Finished | StreamOutcome::Abandoned => Ok(()),
+        StreamOutcome::Lost(reason) => Err(generation_lost(&reason)),
+        StreamOutcome::TokenMismatch => Err(generation_lost("the engine gave other tokens")),
     }
 }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -15,7 +15,7 @@
 use super::endpoints::EndpointTable;
 use super::once::OnceMemory;
 use super::owner::Groups;
-use super::placement_loop::LeaseShard;
+use super::placement_loop::HallLease;
 use super::reservations::Reservations;
 use crate::kernel::clock::Clock;
 use crate::kernel::membership::{Incarnation, Members, PeerStatus};
@@ -127,7 +127,7 @@
     pub(crate) empty_groups: Mutex<HashMap<String, Duration>>,
     pub(crate) work: Work,
     pub(crate) peers: PeerClients,
-    pub(crate) lease: LeaseShard,
+    pub(crate) lease: HallLease,
 }
 
 impl Node {
@@ -145,7 +145,7 @@
                 limits.once_requests,
                 limits.once_bytes,
             ),
-            lease: LeaseShard::new(&settings, incarnation.id),
+            lease: HallLease::new(&settings, incarnation.id),
             groups: Groups::default(),
             config: ConfigShard::default(),
             catalog: RwLock::default(),
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -1,4 +1,8 @@
-//! Groups of endpoints and their soft owner: reservations by the kernel's ledger, with requests that wait.
+//! Groups of endpoints and their owners. A group's owner reserves capacity on its endpoints through
+//! the kernel's ledger and queues the requests that have to wait.
+//!
+//! Ownership is soft: instances whose views of the live instances differ may disagree about it for
+//! a while, and an instance that cannot reach the owner decides within its own share of the group.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -25,47 +29,48 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-/// Endpoints of a group at most.
+/// Maximum number of endpoints in a group.
 pub(crate) const GROUP_SIZE: usize = 16;
-const SETTLE_EVERY: Duration = Duration::from_millis(20);
-/// Streams grow between reports; what they are expected to hold is counted anew this often.
-const RECOUNT_EVERY: Duration = Duration::from_millis(60);
-/// A group that nobody asked for this long is dropped by an instance that does not own it.
-const UNUSED_AFTER: Duration = Duration::from_secs(10);
+/// Interval at which the queues of waiting requests are processed.
+const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the expected memory use of running streams is recalculated, because streams
+/// grow between progress reports.
+const IN_FLIGHT_REFRESH_INTERVAL: Duration = Duration::from_millis(60);
+/// An instance that does not own a group drops it after this long without a request for it.
+const UNUSED_GROUP_RETENTION: Duration = Duration::from_secs(10);
 
 struct Group {
     ledger: Mutex<GroupLedger>,
     waiters: Mutex<HashMap<Uuid, oneshot::Sender<Result<Grant>>>>,
     last_used: Mutex<Duration>,
-    recounted_at: Mutex<Duration>,
+    in_flight_refreshed_at: Mutex<Duration>,
     dirty: std::sync::atomic::AtomicBool,
 }
 
-/// The groups that this instance owns or was asked for.
+/// The groups that this instance owns or has received requests for.
 #[derive(Default)]
 pub(crate) struct Groups {
     groups: Mutex<BTreeMap<String, Arc<Group>>>,
 }
 
-/// A place on an endpoint.
+/// The endpoint on which a reservation was granted.
 #[derive(Debug, Clone)]
-pub(crate) struct PlacedOn {
-    /// Endpoint.
+pub(crate) struct GrantedEndpoint {
     pub(crate) endpoint: String,
-    /// Its incarnation, where the owner knows it.
+    /// Incarnation of the endpoint, if the owner knows it.
     pub(crate) incarnation: Option<Uuid>,
-    /// Version of the model that it holds.
+    /// Version of the requested model that the endpoint has loaded.
     pub(crate) version: String,
 }
 
-/// A group in a dump.
+/// A group in the state dump.
 #[derive(Debug, Serialize)]
 pub(crate) struct GroupDump {
     owner: Option<String>,
     summary: GroupSummary,
 }
 
-/// Groups of one hall: group name to its endpoints.
+/// Returns the engine groups of a hall: the endpoints of each group by group name.
 pub(crate) fn groups_of_hall<'a>(
     hall: &str,
     endpoints: impl Iterator<Item = &'a EndpointObject>,
@@ -81,8 +86,8 @@
     groups
 }
 
-/// The hall that a group lies in.
-fn hall_of(group: &str) -> &str {
+/// Returns the name of the hall that a group belongs to.
+fn hall_of_group(group: &str) -> &str {
     group.rsplit_once('/').map_or(group, |(hall, _)| hall)
 }
 
@@ -99,15 +104,15 @@
             .collect()
     }
 
-    /// Takes a load report.
-    pub(crate) fn report(&self, endpoint: &str, report: &LoadReport) {
+    /// Records an endpoint's load report in all groups.
+    pub(crate) fn record_load_report(&self, endpoint: &str, report: &LoadReport) {
         for (_, group) in self.all() {
             group.ledger.lock().record_load_report(endpoint, report);
         }
     }
 
-    /// Takes a cache event.
-    pub(crate) fn cached(&self, endpoint: &str, prefix: u64) {
+    /// Records in all groups that an endpoint has cached a prompt prefix.
+    pub(crate) fn record_cached_prefix(&self, endpoint: &str, prefix: u64) {
         for (_, group) in self.all() {
             group.ledger.lock().record_cached_prefix(endpoint, prefix);
         }
@@ -115,27 +120,28 @@
 }
 
 impl Group {
-    /// Wakes the requests that waited. What was granted to one that went away is released.
-    fn answer(&self, settled: Vec<QueueDecision>) {
-        for one in settled {
-            let waiter = self.waiters.lock().remove(&one.reservation_id);
-            let taken = waiter.is_some_and(|waiter| waiter.send(one.result).is_ok());
-            if !taken {
-                self.ledger.lock().release(one.reservation_id);
+    /// Wakes the requests that waited. Releases a grant if its request no longer waits.
+    fn notify_waiters(&self, decisions: Vec<QueueDecision>) {
+        for decision in decisions {
+            let waiter = self.waiters.lock().remove(&decision.reservation_id);
+            let is_delivered = waiter.is_some_and(|waiter| waiter.send(decision.result).is_ok());
+            if !is_delivered {
+                self.ledger.lock().release(decision.reservation_id);
             }
         }
     }
 }
 
 impl Node {
-    /// Who applies the policy of the settings.
+    /// Returns whether group owners or single entries apply the configured policy.
     pub(crate) fn policy_scope(&self) -> PolicyScope {
         policy::build(&self.settings.policy).map_or(PolicyScope::Group, |policy| policy.scope())
     }
 
-    /// The owner of a group: by the live view of the hall's instances, or of all where the hall has none.
-    pub(crate) fn owner_of(&self, group: &str) -> Option<String> {
-        let hall = hall_of(group);
+    /// Returns the owner of a group, chosen by rendezvous hashing among the live instances of the
+    /// group's hall, or among all live instances if the hall has none.
+    pub(crate) fn group_owner(&self, group: &str) -> Option<String> {
+        let hall = hall_of_group(group);
         let now = self.now();
         let members = self.members.lock();
         let serving = self.work.phase() == Phase::Serving;
@@ -146,60 +152,65 @@
                 peer.status.hall.as_str(),
             )
         });
-        let everyone: Vec<_> = live.chain(own).collect();
-        let in_hall = everyone
+        let candidates: Vec<_> = live.chain(own).collect();
+        let in_hall = candidates
             .iter()
-            .filter(|(_, its)| *its == hall)
+            .filter(|(_, instance_hall)| *instance_hall == hall)
             .map(|(name, _)| *name);
         let owner = rendezvous(group, in_hall)
-            .or_else(|| rendezvous(group, everyone.iter().map(|(name, _)| *name)));
+            .or_else(|| rendezvous(group, candidates.iter().map(|(name, _)| *name)));
         owner.map(str::to_owned)
     }
 
-    fn owns(&self, group: &str) -> bool {
-        self.owner_of(group).as_deref() == Some(self.incarnation.name.as_str())
+    fn owns_group(&self, group: &str) -> bool {
+        self.group_owner(group).as_deref() == Some(self.incarnation.name.as_str())
     }
 
-    /// Halls whose groups this instance may own (its own, and those without a live instance) or was asked for.
-    fn halls_here(&self, catalog: &Catalog) -> BTreeSet<String> {
-        let served: BTreeSet<String> = {
+    /// Returns the halls whose groups this instance may own (its own hall, and halls without a live
+    /// instance) and the halls of the groups that it already keeps.
+    fn halls_to_manage(&self, catalog: &Catalog) -> BTreeSet<String> {
+        let halls_with_instances: BTreeSet<String> = {
             let members = self.members.lock();
             let live = members.live(&self.settings.hall, self.now());
             live.map(|peer| peer.status.hall.clone()).collect()
         };
         let halls = catalog.endpoints.iter().map(|endpoint| &endpoint.hall);
-        let ownable = halls.filter(|hall| **hall == self.settings.hall || !served.contains(*hall));
-        let open = self.groups.all();
-        let asked_for = open.iter().map(|(name, _)| hall_of(name).to_owned());
-        ownable.cloned().chain(asked_for).collect()
+        let ownable = halls
+            .filter(|hall| **hall == self.settings.hall || !halls_with_instances.contains(*hall));
+        let kept_groups = self.groups.all();
+        let kept_halls = kept_groups
+            .iter()
+            .map(|(name, _)| hall_of_group(name).to_owned());
+        ownable.cloned().chain(kept_halls).collect()
     }
 
-    /// Names of the endpoints whose load this instance needs: those of the groups here, and the plain services of halls whose
-    /// first group it owns.
-    pub(crate) fn used_endpoints(&self) -> BTreeSet<String> {
+    /// Returns the names of the endpoints whose load reports this instance needs: those of the
+    /// groups that it keeps or owns, and the services of each hall whose first group it owns.
+    pub(crate) fn endpoints_to_poll(&self) -> BTreeSet<String> {
         let catalog = self.catalog();
-        let halls = self.halls_here(&catalog);
-        let mut used = BTreeSet::new();
+        let halls = self.halls_to_manage(&catalog);
+        let mut needed = BTreeSet::new();
         for hall in &halls {
             for (name, members) in groups_of_hall(hall, catalog.endpoints.iter()) {
-                if self.groups.get(&name).is_some() || self.owns(&name) {
-                    used.extend(members.iter().map(|endpoint| endpoint.name.clone()));
+                if self.groups.get(&name).is_some() || self.owns_group(&name) {
+                    needed.extend(members.iter().map(|endpoint| endpoint.name.clone()));
                 }
             }
-            if self.owns(&format!("{hall}/0")) {
+            if self.owns_group(&format!("{hall}/0")) {
                 let services = catalog.endpoints.iter().filter(|endpoint| {
                     endpoint.hall == *hall && matches!(endpoint.role, EndpointRole::Service { .. })
                 });
-                used.extend(services.map(|endpoint| endpoint.name.clone()));
+                needed.extend(services.map(|endpoint| endpoint.name.clone()));
             }
         }
-        used
+        needed
     }
 
-    /// Brings the groups in step with the configuration, the departures and the silences.
+    /// Updates the groups from the configuration, and removes endpoints that have departed or
+    /// stopped reporting.
     pub(crate) fn refresh_groups(&self) {
         let catalog = self.catalog();
-        let halls = self.halls_here(&catalog);
+        let halls = self.halls_to_manage(&catalog);
         for hall in &halls {
             for (name, members) in groups_of_hall(hall, catalog.endpoints.iter()) {
                 self.refresh_group(&name, &members);
@@ -209,32 +220,32 @@
 
     fn refresh_group(&self, name: &str, members: &[&EndpointObject]) {
         let now = self.now();
-        let owned = self.owns(name);
+        let owned = self.owns_group(name);
         let group = match self.groups.get(name) {
             Some(group) => group,
-            None if owned => self.open_group(name),
+            None if owned => self.get_or_create_group(name),
             None => return,
         };
         if owned {
             *group.last_used.lock() = now;
-        } else if now.saturating_sub(*group.last_used.lock()) > UNUSED_AFTER {
+        } else if now.saturating_sub(*group.last_used.lock()) > UNUSED_GROUP_RETENTION {
             self.groups.groups.lock().remove(name);
             return;
         }
-        let share = if owned { 1 } else { self.instances_live() };
+        let share = if owned { 1 } else { self.live_instance_count() };
         let usable = members
             .iter()
-            .filter(|endpoint| self.takes_work(&endpoint.name));
+            .filter(|endpoint| self.can_accept_work(&endpoint.name));
         let usable: HashMap<&str, u64> = usable
-            .map(|endpoint| (endpoint.name.as_str(), capacity(endpoint) / share))
+            .map(|endpoint| (endpoint.name.as_str(), kv_capacity(endpoint) / share))
             .collect();
         let mut ledger = group.ledger.lock();
-        let gone: Vec<String> = ledger
+        let unusable: Vec<String> = ledger
             .endpoints()
             .filter(|known| !usable.contains_key(*known))
             .map(str::to_owned)
             .collect();
-        for name in gone {
+        for name in unusable {
             ledger.remove_endpoint(&name);
         }
         for (name, capacity_tokens) in usable {
@@ -242,19 +253,20 @@
         }
     }
 
-    /// Instances that share an unowned group's endpoints, this one included.
-    fn instances_live(&self) -> u64 {
+    /// Returns the number of live instances, this one included, which divide the capacity of a
+    /// group between them when they decide without its owner.
+    fn live_instance_count(&self) -> u64 {
         let members = self.members.lock();
         1 + members.live(&self.settings.hall, self.now()).count() as u64
     }
 
-    /// Whether an endpoint reports and is not leaving.
-    pub(crate) fn takes_work(&self, endpoint: &str) -> bool {
-        let reports = self.endpoints.reports(endpoint, self.now());
-        reports && !is_departed(self, endpoint, self.endpoints.incarnation(endpoint))
+    /// Returns whether an endpoint sends load reports and has not departed.
+    pub(crate) fn can_accept_work(&self, endpoint: &str) -> bool {
+        let is_reporting = self.endpoints.reports(endpoint, self.now());
+        is_reporting && !is_departed(self, endpoint, self.endpoints.incarnation(endpoint))
     }
 
-    fn open_group(&self, name: &str) -> Arc<Group> {
+    fn get_or_create_group(&self, name: &str) -> Arc<Group> {
         let policy = policy::build(&self.settings.policy)
             .or_else(|| policy::build("profile"))
             .expect("the default policy is registered in this crate");
@@ -267,28 +279,29 @@
             ledger: Mutex::new(GroupLedger::new(policy, limits)),
             waiters: Mutex::default(),
             last_used: Mutex::new(self.now()),
-            recounted_at: Mutex::default(),
+            in_flight_refreshed_at: Mutex::default(),
             dirty: std::sync::atomic::AtomicBool::new(false),
         });
         let mut groups = self.groups.groups.lock();
         groups.entry(name.to_owned()).or_insert(group).clone()
     }
 
-    /// Decides on a request for a place in a group here.
-    pub(crate) async fn reserve_as_owner(
+    /// Reserves capacity for a request in a group kept by this instance, waiting in the group's
+    /// queue if necessary.
+    pub(crate) async fn reserve_in_group(
         &self,
         group_name: &str,
         request: &ReserveRequest,
-    ) -> Result<PlacedOn> {
+    ) -> Result<GrantedEndpoint> {
         let group = match self.groups.get(group_name) {
             Some(group) => group,
-            None => self.open_group(group_name),
+            None => self.get_or_create_group(group_name),
         };
         *group.last_used.lock() = self.now();
-        let request = self.narrow(request);
+        let request = self.narrow_candidates(request);
         let (sender, receiver) = oneshot::channel();
         group.waiters.lock().insert(request.reservation_id, sender);
-        let decision = self.decide(&group, &request);
+        let decision = self.try_reserve(&group, &request);
         if !matches!(decision, Decision::Queued) {
             group.waiters.lock().remove(&request.reservation_id);
         }
@@ -296,33 +309,39 @@
             Decision::Granted(grant) => grant,
             Decision::Refused(error) => return Err(error),
             Decision::Queued => {
-                let waited = self.now();
-                let settled = receiver.await;
-                let waited = self.now().saturating_sub(waited);
+                let queued_at = self.now();
+                let result = receiver.await;
+                let waited = self.now().saturating_sub(queued_at);
                 metrics::histogram!("larkwick_queue_wait_seconds").record(waited.as_secs_f64());
-                settled.map_err(|_| Error::new(ErrorKind::Crowded, "the queue was closed"))??
+                result.map_err(|_| Error::new(ErrorKind::Crowded, "the queue was closed"))??
             }
         };
-        Ok(self.placed(grant, &request))
+        Ok(self.granted_endpoint(grant, &request))
     }
 
-    fn decide(&self, group: &Group, request: &ReserveRequest) -> Decision {
+    fn try_reserve(&self, group: &Group, request: &ReserveRequest) -> Decision {
         let now = self.now();
         let mut ledger = group.ledger.lock();
         ledger.reserve(request, now, &mut rand::rng())
     }
 
-    /// Keeps the candidates that hold the model, those with the version in force first.
-    fn narrow(&self, request: &ReserveRequest) -> ReserveRequest {
+    /// Limits the candidates of a request to the endpoints that have the model loaded in its
+    /// current version, or in any version if none has the current one.
+    fn narrow_candidates(&self, request: &ReserveRequest) -> ReserveRequest {
         let catalog = self.catalog();
-        let wanted = catalog
+        let current_version = catalog
             .model(&request.model)
             .map_or("", |model| model.version.as_str());
-        let held = |name: &String| self.endpoints.held_version(name, &request.model, wanted);
+        let loaded_version = |name: &String| {
+            self.endpoints
+                .held_version(name, &request.model, current_version)
+        };
         let holders: Vec<(String, bool)> = request
             .candidates
             .iter()
-            .filter_map(|name| held(name).map(|version| (name.clone(), version == wanted)))
+            .filter_map(|name| {
+                loaded_version(name).map(|version| (name.clone(), version == current_version))
+            })
             .collect();
         let any_current = holders.iter().any(|(_, current)| *current);
         let mut narrowed = request.clone();
@@ -334,24 +353,29 @@
         narrowed
     }
 
-    fn placed(&self, grant: Grant, request: &ReserveRequest) -> PlacedOn {
+    fn granted_endpoint(&self, grant: Grant, request: &ReserveRequest) -> GrantedEndpoint {
         let catalog = self.catalog();
-        let wanted = catalog
+        let current_version = catalog
             .model(&request.model)
             .map_or("", |model| model.version.as_str());
         let version = self
             .endpoints
-            .held_version(&grant.endpoint, &request.model, wanted)
-            .unwrap_or_else(|| wanted.to_owned());
-        PlacedOn {
+            .held_version(&grant.endpoint, &request.model, current_version)
+            .unwrap_or_else(|| current_version.to_owned());
+        GrantedEndpoint {
             incarnation: self.endpoints.incarnation(&grant.endpoint),
             endpoint: grant.endpoint,
             version,
         }
     }
 
-    /// Takes progress or release of a reservation in a group here.
-    pub(crate) fn take_progress(&self, group_name: &str, id: Uuid, progress: &wire::Progress) {
+    /// Records the progress or release of a reservation in a group kept by this instance.
+    pub(crate) fn record_progress_report(
+        &self,
+        group_name: &str,
+        id: Uuid,
+        progress: &wire::Progress,
+    ) {
         let Some(group) = self.groups.get(group_name) else {
             return;
         };
@@ -372,43 +396,46 @@
             .store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
-    fn settle_group(&self, group: &Group) -> Vec<ExpiredReservation> {
+    /// Expires reservations and processes the queue of a group. Returns the expired reservations.
+    fn process_group(&self, group: &Group) -> Vec<ExpiredReservation> {
         let now = self.now();
         let dirty = group
             .dirty
             .swap(false, std::sync::atomic::Ordering::Relaxed);
-        let due = now.saturating_sub(*group.recounted_at.lock()) >= RECOUNT_EVERY;
-        if due {
-            *group.recounted_at.lock() = now;
+        let refresh_due =
+            now.saturating_sub(*group.in_flight_refreshed_at.lock()) >= IN_FLIGHT_REFRESH_INTERVAL;
+        if refresh_due {
+            *group.in_flight_refreshed_at.lock() = now;
         }
-        let (settled, lapsed) = {
+        let (decisions, expired) = {
             let mut ledger = group.ledger.lock();
-            let lapsed = ledger.expire_reservations(now);
-            if due || (dirty && ledger.has_waiting()) {
+            let expired = ledger.expire_reservations(now);
+            if refresh_due || (dirty && ledger.has_waiting()) {
                 ledger.refresh_in_flight(now);
             }
-            let settled = ledger.process_queue(now, &mut rand::rng());
-            (settled, lapsed)
+            let decisions = ledger.process_queue(now, &mut rand::rng());
+            (decisions, expired)
         };
-        group.answer(settled);
-        lapsed
+        group.notify_waiters(decisions);
+        expired
     }
 
-    /// Cancels what a silent entry left behind, unless its caller reads it through another entry.
-    async fn cancel_lapsed(self: Arc<Self>, lapsed: ExpiredReservation) {
-        info!("reservation lapsed", kv: { endpoint = lapsed.endpoint.as_str() });
+    /// Cancels the generation of a reservation whose entry stopped reporting, unless its caller
+    /// reads it through another entry.
+    async fn cancel_expired(self: Arc<Self>, expired: ExpiredReservation) {
+        info!("reservation lapsed", kv: { endpoint = expired.endpoint.as_str() });
         metrics::counter!("larkwick_reservations_lapsed_total").increment(1);
         tokio::time::sleep(ms(self.settings.times.resume_ms)).await;
-        if let Some(generation) = lapsed.generation {
+        if let Some(generation) = expired.generation {
             super::generation::cancel_by_id(&self, &generation).await;
         }
     }
 
-    /// Groups here, for the dump.
+    /// Returns the groups kept by this instance, for the state dump.
     pub(crate) fn dump_groups(&self) -> BTreeMap<String, GroupDump> {
         let dumped = self.groups.all().into_iter().map(|(name, group)| {
             let dump = GroupDump {
-                owner: self.owner_of(&name),
+                owner: self.group_owner(&name),
                 summary: group.ledger.lock().summary(),
             };
             (name, dump)
@@ -417,20 +444,20 @@
     }
 }
 
-/// Settles the groups' queues for the life of the node.
+/// Processes the groups' queues until the node shuts down.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(SETTLE_EVERY).await;
+        tokio::time::sleep(QUEUE_INTERVAL).await;
         for (_, group) in node.groups.all() {
-            for lapsed in node.settle_group(&group) {
-                tokio::spawn(node.clone().cancel_lapsed(lapsed));
+            for expired in node.process_group(&group) {
+                tokio::spawn(node.clone().cancel_expired(expired));
             }
         }
     }
 }
 
-/// Memory of an engine; 0 for a plain service.
-pub(crate) fn capacity(endpoint: &EndpointObject) -> u64 {
+/// Returns the KV-cache capacity of an engine in tokens; 0 for a service.
+pub(crate) fn kv_capacity(endpoint: &EndpointObject) -> u64 {
     match endpoint.role {
         EndpointRole::Engine {
             kv_capacity_tokens, ..
@@ -439,8 +466,9 @@
     }
 }
 
-/// Milliseconds that an owner may take to answer a request that waits.
+/// Returns how long to wait for an owner's reply to a request that it may queue.
 pub(crate) fn reserve_timeout(request: &ReserveRequest, queue_wait_ms: u64) -> Duration {
-    const ANSWER_MS: u64 = 1_000;
-    ms(millis(request.deadline).min(queue_wait_ms) + ANSWER_MS)
+    /// Time allowed for the reply beyond the time in the queue.
+    const REPLY_MARGIN_MS: u64 = 1_000;
+    ms(millis(request.deadline).min(queue_wait_ms) + REPLY_MARGIN_MS)
 }
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -1,4 +1,5 @@
-//! The hall's lease and, for its holder, the orders that bring the hall's engines to their planned models.
+//! Competes for the hall's lease and, while this instance holds it, sends the orders that make the
+//! hall's engines load their planned models.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,31 +24,36 @@
 use crate::log_service::CONFIG_STREAM;
 use crate::settings::{Settings, ms};
 
-/// Reports of the last so many reads of the whole hall count for the plan.
-const HALL_ROUNDS: u32 = 2;
-const STEP_EVERY: Duration = Duration::from_millis(500);
-/// Orders that took effect are repeated this often, should an older one have arrived after them.
-const REASSERT_EVERY: Duration = Duration::from_secs(5);
+/// Plans use load reports up to this many polling rounds of the whole hall old.
+const REPORT_AGE_MAX_ROUNDS: u32 = 2;
+/// Interval at which the lease is checked and due orders are started.
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which orders are repeated, in case an older order reached the engine after them.
+const ORDER_REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// This instance's part in its hall's lease.
-pub(crate) struct LeaseShard {
+/// The state of this instance as candidate for or holder of its hall's lease.
+pub(crate) struct HallLease {
     keeper: Mutex<LeaseKeeper>,
-    orders: Mutex<BTreeMap<String, OrderGiven>>,
-    /// Endpoints with an order on its way. The next one waits for its end: two orders of one holder must not pass each other.
-    on_the_way: Mutex<BTreeSet<String>>,
+    orders: Mutex<BTreeMap<String, SentOrder>>,
+    /// Endpoints with an order in flight. The next order to such an endpoint waits until that one
+    /// has ended, because two orders of the same holder must not overtake each other.
+    in_flight: Mutex<BTreeSet<String>>,
+    /// Generated tokens by model, decaying over time.
     demand: Mutex<DemandByModel>,
 }
 
+/// The last order sent to an endpoint, and its result.
 #[derive(Debug, Clone, Serialize)]
-struct OrderGiven {
+struct SentOrder {
     order_models: Vec<LoadedModel>,
     fence: u64,
-    at: Duration,
+    #[serde(rename = "at")]
+    completed_at: Duration,
     loaded: Vec<LoadedModel>,
     failure: Option<String>,
 }
 
-/// The shard in a dump.
+/// The lease and its orders in the state dump.
 #[derive(Debug, Serialize)]
 pub(crate) struct LeaseDump {
     holder: Option<String>,
@@ -64,8 +70,8 @@
     failure: Option<String>,
 }
 
-impl LeaseShard {
-    /// A shard that has seen nothing.
+impl HallLease {
+    /// Creates the state of an instance that has not seen the lease yet.
     pub(crate) fn new(settings: &Settings, incarnation: Uuid) -> Self {
         let times = LeaseTimes {
             ttl: ms(settings.times.lease_ms),
@@ -75,96 +81,101 @@
         Self {
             keeper: Mutex::new(keeper),
             orders: Mutex::default(),
-            on_the_way: Mutex::default(),
+            in_flight: Mutex::default(),
             demand: Mutex::default(),
         }
     }
 
-    /// Counts tokens of a model, for the plan.
+    /// Adds generated tokens to a model's demand, which the placement plan uses.
     pub(crate) fn count_demand(&self, model: &str, tokens: u32) {
         let mut demand = self.demand.lock();
         *demand.entry(model.to_owned()).or_default() += f64::from(tokens);
     }
 
+    /// Reduces the demand of all models, so that recent demand counts more than old demand.
     fn decay_demand(&self) {
-        const KEPT_PER_STEP: f64 = 0.99;
+        const DECAY_PER_STEP: f64 = 0.99;
         for tokens in self.demand.lock().values_mut() {
-            *tokens *= KEPT_PER_STEP;
+            *tokens *= DECAY_PER_STEP;
         }
     }
 }
 
 impl Node {
-    /// The lease, for the dump.
+    /// Returns the lease and its orders for the state dump.
     pub(crate) fn dump_lease(&self) -> LeaseDump {
-        let held = self.config.lease(&self.settings.hall);
+        let lease = self.config.lease(&self.settings.hall);
         let orders = self.lease.orders.lock().clone();
-        let orders = orders.into_iter().map(|(endpoint, given)| {
+        let orders = orders.into_iter().map(|(endpoint, sent)| {
             let dump = OrderDump {
-                fence: given.fence,
-                desired: given.order_models,
-                loaded: given.loaded,
-                failure: given.failure,
+                fence: sent.fence,
+                desired: sent.order_models,
+                loaded: sent.loaded,
+                failure: sent.failure,
             };
             (endpoint, dump)
         });
         LeaseDump {
-            holder: held.as_ref().map(|held| held.claim.holder.clone()),
-            fence: held.as_ref().map_or(0, |held| held.fence),
+            holder: lease.as_ref().map(|lease| lease.claim.holder.clone()),
+            fence: lease.as_ref().map_or(0, |lease| lease.fence),
             held_here: self.holds_lease(),
             orders: orders.collect(),
         }
     }
 
-    /// Whether this instance can prove that it holds its hall's lease.
+    /// Returns whether this instance can prove that it holds its hall's lease.
     pub(crate) fn holds_lease(&self) -> bool {
         self.lease.keeper.lock().proof(self.now()).is_some()
     }
 
-    /// Gives the lease up, so that a successor need not wait for it to lapse.
+    /// Releases the lease, so that a successor need not wait until it expires.
     pub(crate) async fn release_lease(&self) {
         let claim = {
             let mut keeper = self.lease.keeper.lock();
             keeper.release(self.now(), Uuid::new_v4())
         };
         if let Some(claim) = claim {
-            append(self, claim).await;
+            append_claim(self, claim).await;
         }
     }
 }
 
-async fn append(node: &Node, claim: Claim) {
+/// Appends a lease claim to the configuration log.
+async fn append_claim(node: &Node, claim: Claim) {
     let Ok(record) = serde_json::to_value(Record::Claim(claim)) else {
         return;
     };
-    // A lost reply is resolved by reading the log: the fold shows whose claim is in force.
+    // If the reply is lost, reading the log resolves it: the configuration state shows which claim
+    // is in force.
     if let Err(error) = node.platform.log.append(CONFIG_STREAM, record).await {
         warn!("lease claim not confirmed: {}", error);
     }
 }
 
-/// Whether this instance should try for its hall's lease: one of the hall's live instances, so that they need not race.
-fn is_candidate(node: &Node) -> bool {
+/// Returns whether this instance should claim its hall's lease. Rendezvous hashing selects one of
+/// the hall's live instances, so that they do not compete.
+fn is_lease_candidate(node: &Node) -> bool {
     let members = node.members.lock();
     let hall = &node.settings.hall;
     let live = members
         .live(&node.settings.hall, node.now())
         .filter(|peer| peer.status.hall == *hall)
         .map(|peer| peer.status.incarnation.name.as_str());
-    let everyone = live.chain([node.incarnation.name.as_str()]);
-    rendezvous(&format!("lease {hall}"), everyone) == Some(node.incarnation.name.as_str())
+    let candidates = live.chain([node.incarnation.name.as_str()]);
+    rendezvous(&format!("lease {hall}"), candidates) == Some(node.incarnation.name.as_str())
 }
 
-async fn step(node: &Arc<Node>) {
+/// Claims or renews the lease if due and, with a proof of holding it, starts the due orders.
+async fn run_step(node: &Arc<Node>) {
     if node.work.phase() > Phase::Serving {
         return;
     }
-    let held = node.config.lease(&node.settings.hall);
-    let candidate = is_candidate(node);
+    let lease = node.config.lease(&node.settings.hall);
+    let candidate = is_lease_candidate(node);
     let before_append = node.now();
     let (step, proof) = {
         let mut keeper = node.lease.keeper.lock();
-        keeper.observe(held.as_ref(), before_append);
+        keeper.observe(lease.as_ref(), before_append);
         let proof = keeper.proof(before_append);
         let step = if candidate || proof.is_some() {
             keeper.step(before_append, Uuid::new_v4())
@@ -174,78 +185,91 @@
         (step, proof)
     };
     if let LeaseStep::Append(claim) = step {
-        append(node, claim).await;
+        append_claim(node, claim).await;
     }
     if let Some(proof) = proof {
-        give_orders(node, proof);
+        start_due_orders(node, proof);
     }
 }
 
-fn give_orders(node: &Arc<Node>, proof: LeaseProof) {
+/// Plans the models of the hall's engines and starts the orders that are due.
+fn start_due_orders(node: &Arc<Node>, proof: LeaseProof) {
     let catalog = node.catalog();
     let hall = &node.settings.hall;
     let now = node.now();
-    let within = HALL_ROUNDS * HALL_EVERY * ms(node.settings.times.load_poll_ms);
-    // A new holder has read the whole hall before it moves anything.
-    if now.saturating_sub(proof.since) < within {
+    let report_age_max = REPORT_AGE_MAX_ROUNDS * HALL_EVERY * ms(node.settings.times.load_poll_ms);
+    // A new holder must have polled the whole hall before it sends any order.
+    if now.saturating_sub(proof.since) < report_age_max {
         return;
     }
-    let held: BTreeMap<String, Vec<LoadedModel>> = catalog
+    let loaded: BTreeMap<String, Vec<LoadedModel>> = catalog
         .endpoints
         .iter()
         .filter(|endpoint| endpoint.hall == *hall)
         .filter_map(|endpoint| {
-            let report = node.endpoints.recent_report(&endpoint.name, now, within)?;
+            let report = node
+                .endpoints
+                .recent_report(&endpoint.name, now, report_age_max)?;
             let departed = is_departed(node, &endpoint.name, Some(report.incarnation));
             (!departed).then(|| (endpoint.name.clone(), report.models))
         })
         .collect();
     let demand = node.lease.demand.lock().clone();
-    for planned in plan_hall(&catalog, hall, &demand, &held) {
-        let assignment = keep_until_replaced(planned, &held);
-        if needs_order(node, &assignment, proof) && begin_order(node, &assignment.endpoint) {
-            tokio::spawn(give_order(node.clone(), assignment, proof));
+    for planned in plan_hall(&catalog, hall, &demand, &loaded) {
+        let assignment = retain_until_replaced(planned, &loaded);
+        if needs_order(node, &assignment, proof) && try_start_order(node, &assignment.endpoint) {
+            tokio::spawn(run_order(node.clone(), assignment, proof));
         }
     }
 }
 
-/// Adds the versions that an engine holds of models whose planned version it does not hold yet: they serve until it does.
-fn keep_until_replaced(
+/// Adds the loaded versions of models whose planned version the engine has not loaded yet. They
+/// keep serving until the planned version is loaded.
+fn retain_until_replaced(
     mut planned: Assignment,
-    held: &BTreeMap<String, Vec<LoadedModel>>,
+    loaded: &BTreeMap<String, Vec<LoadedModel>>,
 ) -> Assignment {
-    let Some(held) = held.get(&planned.endpoint) else {
+    let Some(loaded) = loaded.get(&planned.endpoint) else {
         return planned;
     };
-    let not_yet = planned.models.iter().filter(|model| !held.contains(model));
-    let not_yet: BTreeSet<String> = not_yet.map(|model| model.name.clone()).collect();
-    let kept = held.iter().filter(|model| not_yet.contains(&model.name));
+    let missing_models = planned
+        .models
+        .iter()
+        .filter(|model| !loaded.contains(model));
+    let missing_models: BTreeSet<String> = missing_models.map(|model| model.name.clone()).collect();
+    let kept = loaded
+        .iter()
+        .filter(|model| missing_models.contains(&model.name));
     planned.models.extend(kept.cloned());
     planned
 }
 
-/// An order is due where a planned model was not ordered yet. One that only drops models waits for the next repetition, so that
-/// every owner has seen by a report what replaced them.
+/// Returns whether an order is due: a planned model has not been ordered yet, the last order is due
+/// to be repeated, or it had a later fence.
+///
+/// An order that only unloads models waits for the next repetition, so that by then a load report
+/// has shown every owner what replaced them.
 fn needs_order(node: &Node, assignment: &Assignment, proof: LeaseProof) -> bool {
     let orders = node.lease.orders.lock();
-    let Some(given) = orders.get(&assignment.endpoint) else {
+    let Some(sent) = orders.get(&assignment.endpoint) else {
         return true;
     };
-    let due = node.now().saturating_sub(given.at) >= REASSERT_EVERY;
+    let repeat_due = node.now().saturating_sub(sent.completed_at) >= ORDER_REPEAT_INTERVAL;
     let mut planned = assignment.models.iter();
-    let missing = planned.any(|model| !given.order_models.contains(model));
-    due || missing || given.fence > proof.fence
+    let has_new_model = planned.any(|model| !sent.order_models.contains(model));
+    repeat_due || has_new_model || sent.fence > proof.fence
 }
 
-/// Marks an order as on its way; false where one is already.
-fn begin_order(node: &Node, endpoint: &str) -> bool {
-    node.lease.on_the_way.lock().insert(endpoint.to_owned())
+/// Marks an order to an endpoint as in flight. Returns `false` if one already is.
+fn try_start_order(node: &Node, endpoint: &str) -> bool {
+    node.lease.in_flight.lock().insert(endpoint.to_owned())
 }
 
-async fn give_order(node: Arc<Node>, assignment: Assignment, proof: LeaseProof) {
+/// Sends an order and then marks it as no longer in flight.
+async fn run_order(node: Arc<Node>, assignment: Assignment, proof: LeaseProof) {
     let endpoint = assignment.endpoint.clone();
     send_order(&node, assignment, proof).await;
-    node.lease.on_the_way.lock().remove(&endpoint);
+    node.lease.in_flight.lock().remove(&endpoint);
 }
 
 async fn send_order(node: &Node, assignment: Assignment, proof: LeaseProof) {
@@ -258,20 +282,22 @@
         weights_bytes: assignment
             .models
             .iter()
-            .map(|held| weights(&catalog, held))
+            .map(|model| weights_bytes(&catalog, model))
             .collect(),
         models: assignment.models,
     };
-    // The order must be over before the proof ends, so that none takes effect under a successor.
+    // The order must end before the proof of the lease expires, so that it cannot take effect while
+    // a successor holds the lease.
     let now = node.now();
     let timeout = ms(node.settings.times.order_ms).min(proof.until.saturating_sub(now));
     if timeout.is_zero() {
         return;
     }
     let result = client.order(&order, timeout).await;
-    note_order(node, &assignment.endpoint, order, result);
+    record_order(node, &assignment.endpoint, order, result);
 }
 
+/// Returns the client of an engine; `None` if the endpoint is unknown or not an engine.
 fn order_client(node: &Node, catalog: &Catalog, endpoint: &str) -> Option<Arc<dyn Endpoint>> {
     let object = catalog.endpoint(endpoint)?;
     matches!(object.role, EndpointRole::Engine { .. })
@@ -279,38 +305,45 @@
         .flatten()
 }
 
-fn weights(catalog: &Catalog, held: &LoadedModel) -> u64 {
+/// Returns the size of a model's weights in bytes; 0 if the model is not in the catalog.
+fn weights_bytes(catalog: &Catalog, loaded: &LoadedModel) -> u64 {
     catalog
-        .model(&held.name)
+        .model(&loaded.name)
         .map_or(0, |model| model.weights_bytes)
 }
 
-fn note_order(node: &Node, endpoint: &str, order: Order, result: Result<OrderStatus, OrderError>) {
+/// Records the result of an order.
+fn record_order(
+    node: &Node,
+    endpoint: &str,
+    order: Order,
+    result: Result<OrderStatus, OrderError>,
+) {
     let failure = result.as_ref().err().map(ToString::to_string);
     metrics::counter!("larkwick_orders_total", "ok" => failure.is_none().to_string()).increment(1);
-    if let Some(why) = &failure {
-        warn!("order failed", kv: { endpoint, why = why.as_str() });
+    if let Some(reason) = &failure {
+        warn!("order failed", kv: { endpoint, why = reason.as_str() });
     }
-    let given = OrderGiven {
+    let sent = SentOrder {
         order_models: order.models,
         fence: order.fence,
-        at: node.now(),
+        completed_at: node.now(),
         loaded: result.map(|status| status.loaded).unwrap_or_default(),
         failure,
     };
     let mut orders = node.lease.orders.lock();
-    let before = orders.insert(endpoint.to_owned(), given.clone());
+    let previous = orders.insert(endpoint.to_owned(), sent.clone());
     drop(orders);
-    if before.is_none_or(|before| before.order_models != given.order_models) {
-        info!("order given", kv: { endpoint, fence = given.fence });
+    if previous.is_none_or(|previous| previous.order_models != sent.order_models) {
+        info!("order sent", kv: { endpoint, fence = sent.fence });
     }
 }
 
-/// Runs for the life of the node.
+/// Runs the lease and placement loop until the node shuts down.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(STEP_EVERY).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         node.lease.decay_demand();
-        step(&node).await;
+        run_step(&node).await;
     }
 }
--- a/src/daemon/reservations.rs
+++ b/src/daemon/reservations.rs
@@ -1,4 +1,5 @@
-//! The entry's side of reservations: progress and releases, reported to the owners in batches.
+//! The reservations of an entry. Their progress and release are reported in batches to the owners
+//! of the groups that granted them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,11 +14,12 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
+/// Timeout of a progress report to an owner.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Releases leave at once, collected for this long.
-const RELEASE_BATCH: Duration = Duration::from_millis(10);
+/// Releases are reported without waiting for the next periodic report, batched over this time.
+const RELEASE_BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// A reservation that this entry holds. Dropping it releases it.
+/// A reservation held by this entry. Dropping it releases the reservation.
 pub(crate) struct Reservation {
     state: Arc<ReservationState>,
 }
@@ -25,27 +27,29 @@
 struct ReservationState {
     id: Uuid,
     group: String,
-    /// Name of the owner that granted it; this instance's own name where it decided itself.
+    /// Name of the owner that granted it, or of this instance if it decided itself.
     owner: String,
-    made_tokens: AtomicU32,
+    generated_tokens: AtomicU32,
     generation: Mutex<String>,
     released: AtomicBool,
     finished: AtomicBool,
-    wake: Arc<tokio::sync::Notify>,
+    release_notify: Arc<tokio::sync::Notify>,
 }
 
 impl Reservation {
-    /// Notes which generation it is for.
+    /// Sets the id of the generation that uses this reservation.
     pub(crate) fn set_generation(&self, generation: &str) {
         generation.clone_into(&mut self.state.generation.lock());
     }
 
-    /// Notes how many tokens the generation has made.
-    pub(crate) fn set_made(&self, made_tokens: u32) {
-        self.state.made_tokens.store(made_tokens, Ordering::Relaxed);
+    /// Sets the number of tokens generated so far.
+    pub(crate) fn set_generated_tokens(&self, generated_tokens: u32) {
+        self.state
+            .generated_tokens
+            .store(generated_tokens, Ordering::Relaxed);
     }
 
-    /// Notes that the generation reached its end, so that its length counts for the estimates.
+    /// Marks the generation as finished, so that its length counts for the length estimates.
     pub(crate) fn set_finished(&self) {
         self.state.finished.store(true, Ordering::Relaxed);
     }
@@ -54,52 +58,53 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         self.state.released.store(true, Ordering::Relaxed);
-        self.state.wake.notify_one();
+        self.state.release_notify.notify_one();
     }
 }
 
 /// All reservations of this entry.
 #[derive(Default)]
 pub(crate) struct Reservations {
-    held: Mutex<HashMap<Uuid, Arc<ReservationState>>>,
-    wake: Arc<tokio::sync::Notify>,
+    active: Mutex<HashMap<Uuid, Arc<ReservationState>>>,
+    release_notify: Arc<tokio::sync::Notify>,
 }
 
+/// A group and the owner to which its progress is reported.
 #[derive(Debug, PartialEq, Eq, Hash)]
-struct OwnerGroup {
+struct OwnedGroup {
     owner: String,
     group: String,
 }
 
 impl Reservations {
-    /// Takes up a granted reservation.
-    pub(crate) fn hold(&self, id: Uuid, group: &str, owner: &str) -> Reservation {
+    /// Registers a granted reservation.
+    pub(crate) fn track(&self, id: Uuid, group: &str, owner: &str) -> Reservation {
         let state = Arc::new(ReservationState {
             id,
             group: group.to_owned(),
             owner: owner.to_owned(),
-            made_tokens: AtomicU32::new(0),
+            generated_tokens: AtomicU32::new(0),
             generation: Mutex::default(),
             released: AtomicBool::new(false),
             finished: AtomicBool::new(false),
-            wake: self.wake.clone(),
+            release_notify: self.release_notify.clone(),
         });
-        self.held.lock().insert(id, state.clone());
+        self.active.lock().insert(id, state.clone());
         Reservation { state }
     }
 
-    /// Reservations held.
+    /// Returns the number of reservations held.
     pub(crate) fn len(&self) -> usize {
-        self.held.lock().len()
+        self.active.lock().len()
     }
 
-    /// Progress to report, by owner and group. Released reservations are taken out.
-    fn collect(&self, only_released: bool) -> HashMap<OwnerGroup, Vec<wire::Progress>> {
-        let mut batches: HashMap<OwnerGroup, Vec<wire::Progress>> = HashMap::new();
-        self.held.lock().retain(|_, state| {
+    /// Returns the progress to report, by owner and group, and removes released reservations.
+    fn collect_progress(&self, only_released: bool) -> HashMap<OwnedGroup, Vec<wire::Progress>> {
+        let mut batches: HashMap<OwnedGroup, Vec<wire::Progress>> = HashMap::new();
+        self.active.lock().retain(|_, state| {
             let released = state.released.load(Ordering::Relaxed);
             if released || !only_released {
-                let key = OwnerGroup {
+                let key = OwnedGroup {
                     owner: state.owner.clone(),
                     group: state.group.clone(),
                 };
@@ -118,7 +123,7 @@
     fn progress(&self, released: bool) -> wire::Progress {
         wire::Progress {
             reservation_id: self.id.to_string(),
-            made_tokens: self.made_tokens.load(Ordering::Relaxed),
+            made_tokens: self.generated_tokens.load(Ordering::Relaxed),
             generation: self.generation.lock().clone(),
             released,
             finished: self.finished.load(Ordering::Relaxed),
@@ -126,11 +131,12 @@
     }
 }
 
-fn deliver(node: &Arc<Node>, key: OwnerGroup, progress: Vec<wire::Progress>) {
+/// Sends a batch of progress to the owner of a group, or records it here if this instance decided.
+fn send_progress(node: &Arc<Node>, key: OwnedGroup, progress: Vec<wire::Progress>) {
     if key.owner == node.incarnation.name {
-        for one in progress {
-            if let Ok(id) = one.reservation_id.parse() {
-                node.take_progress(&key.group, id, &one);
+        for item in progress {
+            if let Ok(id) = item.reservation_id.parse() {
+                node.record_progress_report(&key.group, id, &item);
             }
         }
         return;
@@ -149,27 +155,27 @@
         };
         let group = key.group;
         let report = wire::ReportRequest { group, progress };
-        // A report that is lost is made up for by the next one, or by the reservation lapsing.
+        // A lost report is made up for by the next one, or by the expiry of the reservation.
         let _ = within(REPORT_TIMEOUT, client.report(report)).await;
     });
 }
 
-/// Reports for the life of the node.
+/// Reports progress and releases until the node shuts down.
 pub(crate) async fn run(node: Arc<Node>) {
-    let every = ms(node.settings.times.load_poll_ms);
-    let mut next_full = tokio::time::Instant::now() + every;
+    let interval = ms(node.settings.times.load_poll_ms);
+    let mut next_full_report = tokio::time::Instant::now() + interval;
     loop {
-        let full = tokio::select! {
-            () = node.reservations.wake.notified() => false,
-            () = tokio::time::sleep_until(next_full) => true,
+        let is_full_report = tokio::select! {
+            () = node.reservations.release_notify.notified() => false,
+            () = tokio::time::sleep_until(next_full_report) => true,
         };
-        if full {
-            next_full = tokio::time::Instant::now() + every;
+        if is_full_report {
+            next_full_report = tokio::time::Instant::now() + interval;
         } else {
-            tokio::time::sleep(RELEASE_BATCH).await;
+            tokio::time::sleep(RELEASE_BATCH_DELAY).await;
         }
-        for (key, progress) in node.reservations.collect(!full) {
-            deliver(&node, key, progress);
+        for (key, progress) in node.reservations.collect_progress(!is_full_report) {
+            send_progress(&node, key, progress);
         }
     }
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -53,7 +53,7 @@
         let message = request.into_inner();
         let group = message.group.clone();
         let request = reserve_from_wire(message)?;
-        let reply = match self.node.reserve_as_owner(&group, &request).await {
+        let reply = match self.node.reserve_in_group(&group, &request).await {
             Ok(place) => wire::ReserveReply {
                 endpoint: place.endpoint,
                 endpoint_incarnation: place.incarnation.map(|i| i.to_string()).unwrap_or_default(),
@@ -76,7 +76,7 @@
         for progress in message.progress {
             let reservation_id = id(&progress.reservation_id, "reservation_id")?;
             self.node
-                .take_progress(&message.group, reservation_id, &progress);
+                .record_progress_report(&message.group, reservation_id, &progress);
         }
         Ok(Response::new(wire::ReportReply {}))
     }
