--- a/src/daemon/engine_selection.rs
+++ b/src/daemon/engine_selection.rs
@@ -163,6 +163,7 @@
         Err(no_endpoint_error())
     }
 
+    /// Returns the selected endpoint for `chosen`, without a reservation.
     fn unreserved_selection(
         &self,
         catalog: &Catalog,
@@ -207,6 +208,7 @@
         groups
     }
 
+    /// Returns whether a group had no usable endpoint within [`EMPTY_GROUP_RETENTION`].
     fn is_recently_empty(&self, group: &str) -> bool {
         let recorded_at = self.empty_groups.lock().get(group).copied();
         recorded_at.is_some_and(|at| self.now().saturating_sub(at) < EMPTY_GROUP_RETENTION)
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -310,7 +310,7 @@
                     self.clean_up(source, &outcome);
                     return outcome;
                 }
-                ReadOutcome::Disconnected => {
+                ReadOutcome::Interrupted => {
                     match self.reconnect(&source, position.next_index()).await {
                         Ok(resumed) => stream = resumed,
                         Err(reason) => {
@@ -325,6 +325,9 @@
     }
 
     /// Cancels a generation that this instance no longer forwards, unless it ran to its end.
+    ///
+    /// After an abandoned generation it waits for the time in which the caller may resume it, and
+    /// then cancels it only if no caller is reading it.
     fn clean_up(&self, source: EngineGeneration, outcome: &StreamOutcome) {
         match outcome {
             StreamOutcome::Finished => {}
@@ -365,9 +368,9 @@
             match event {
                 Err(_) => {
                     metrics::counter!("larkwick_stalls_total").increment(1);
-                    return ReadOutcome::Disconnected;
+                    return ReadOutcome::Interrupted;
                 }
-                Ok(None | Some(Err(_))) => return ReadOutcome::Disconnected,
+                Ok(None | Some(Err(_))) => return ReadOutcome::Interrupted,
                 Ok(Some(Ok(event))) => {
                     if let Some(outcome) = self.handle_event(source, event, position).await {
                         return outcome;
@@ -390,7 +393,7 @@
                 TokenAction::Duplicate => None,
                 TokenAction::Gap => {
                     metrics::counter!("larkwick_token_gaps_total").increment(1);
-                    Some(ReadOutcome::Disconnected)
+                    Some(ReadOutcome::Interrupted)
                 }
                 TokenAction::Deliver => self
                     .deliver_token(source, index, text)
@@ -399,7 +402,7 @@
             },
             EngineEvent::Done { reason, tokens } => {
                 if position.next_index() != tokens {
-                    return Some(ReadOutcome::Disconnected);
+                    return Some(ReadOutcome::Interrupted);
                 }
                 Some(ReadOutcome::Ended(
                     self.deliver_done(source, reason, tokens).await,
@@ -505,8 +508,8 @@
 enum ReadOutcome {
     /// This run has ended.
     Ended(StreamOutcome),
-    /// Only the connection was lost; the generation can be resumed.
-    Disconnected,
+    /// The connection was lost, stalled or skipped tokens; the generation can be resumed.
+    Interrupted,
 }
 
 /// Waits until this instance starts to move its streams; pends forever if the phase channel closes.
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -39,11 +39,14 @@
 /// An instance that does not own a group drops it after this long without a request for it.
 const UNUSED_GROUP_RETENTION: Duration = Duration::from_secs(10);
 
+/// A group kept by this instance.
 struct Group {
     ledger: Mutex<GroupLedger>,
+    /// Queued requests by reservation id.
     waiters: Mutex<HashMap<Uuid, oneshot::Sender<Result<Grant>>>>,
     last_used: Mutex<Duration>,
     in_flight_refreshed_at: Mutex<Duration>,
+    /// Whether progress has been reported since the queue was last processed.
     dirty: std::sync::atomic::AtomicBool,
 }
 
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -94,9 +94,9 @@
 
     /// Reduces the demand of all models, so that recent demand counts more than old demand.
     fn decay_demand(&self) {
-        const DECAY_PER_STEP: f64 = 0.99;
+        const DECAY_FACTOR: f64 = 0.99;
         for tokens in self.demand.lock().values_mut() {
-            *tokens *= DECAY_PER_STEP;
+            *tokens *= DECAY_FACTOR;
         }
     }
 }
--- a/src/daemon/reservations.rs
+++ b/src/daemon/reservations.rs
@@ -24,6 +24,7 @@
     state: Arc<ReservationState>,
 }
 
+/// State of a reservation, shared by its [`Reservation`] and the reporting loop.
 struct ReservationState {
     id: Uuid,
     group: String,
--- a/tests/promise_orders.rs
+++ b/tests/promise_orders.rs
@@ -1,4 +1,5 @@
-//! Orders from a holder that lost its lease do no harm; a new version is loaded before traffic turns to it.
+//! Model orders: an engine rejects orders from a holder that has lost its lease, and a new model
+//! version is loaded before requests are routed to it.
 
 mod support;
 
@@ -11,7 +12,7 @@
     counters["orders"].clone()
 }
 
-async fn holds(instance: &Process) -> bool {
+async fn holds_lease(instance: &Process) -> bool {
     dump(instance).await["lease"]["held_here"] == true
 }
 
@@ -21,14 +22,14 @@
 }
 
 async fn until_loaded(engine: &Process, version: &str) {
-    until("the version is loaded alone", || async {
+    until("only the given version is loaded", || async {
         orders(engine).await["loaded"] == json!([{"name": "m", "version": version}])
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn holder_frozen_past_its_lease_older_order_without_effect() {
+async fn holder_suspended_past_its_lease_older_order_rejected() {
     let site = Site::new();
     let engine = site.engine("e1", &json!({"step_us": 1000}));
     assert!(
@@ -40,38 +41,41 @@
     for instance in &instances {
         until_peers(instance, 1).await;
     }
-    until("an order was given", || async {
+    until("the engine received an order", || async {
         orders(&engine).await["fence"].as_u64() > Some(0)
     })
     .await;
-    let frozen = usize::from(!holds(&instances[0]).await);
-    let (holder, successor) = (&instances[frozen], &instances[1 - frozen]);
+    let holder_index = usize::from(!holds_lease(&instances[0]).await);
+    let (holder, successor) = (&instances[holder_index], &instances[1 - holder_index]);
     let old_fence = orders(&engine).await["fence"].as_u64();
     holder.signal(Signal::SIGSTOP);
-    until("the other one holds the lease", || holds(successor)).await;
+    until("the other instance holds the lease", || {
+        holds_lease(successor)
+    })
+    .await;
     assert!(site.publish(&json!([model("2")])).status.success());
     until_loaded(&engine, "2").await;
     let new_fence = orders(&engine).await["fence"].as_u64();
     assert!(new_fence > old_fence, "{new_fence:?} {old_fence:?}");
     holder.signal(Signal::SIGCONT);
-    until("the old holder knows", || async {
+    until("the old holder has learned of its successor", || async {
         let lease = dump(holder).await["lease"].clone();
         lease["held_here"] == false && lease["fence"].as_u64() >= new_fence
     })
     .await;
-    let after = orders(&engine).await;
-    assert!(after["fence"].as_u64() >= new_fence, "{after}");
-    assert_eq!(after["loaded"], json!([{"name": "m", "version": "2"}]));
-    // The engine itself refuses an older fence.
-    let late = json!({"fence": old_fence, "models": [{"name": "m", "version": "1"}], "weights_bytes": [1]});
+    let last = orders(&engine).await;
+    assert!(last["fence"].as_u64() >= new_fence, "{last}");
+    assert_eq!(last["loaded"], json!([{"name": "m", "version": "2"}]));
+    // The engine itself rejects an order with an older fence.
+    let stale_order = json!({"fence": old_fence, "models": [{"name": "m", "version": "1"}], "weights_bytes": [1]});
     let url = format!("http://{}/v1/orders", engine.address("address"));
-    let refused = reqwest::Client::new()
+    let response = reqwest::Client::new()
         .post(url)
-        .json(&late)
+        .json(&stale_order)
         .send()
         .await
         .expect("answer");
-    assert_eq!(refused.status().as_u16(), 409);
+    assert_eq!(response.status().as_u16(), 409);
     assert_eq!(
         orders(&engine).await["loaded"],
         json!([{"name": "m", "version": "2"}])
@@ -79,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_version_every_request_answered_throughout() {
+async fn new_version_loaded_without_failed_requests() {
     let site = Site::new();
     let engine = site.engine("e1", &json!({"step_us": 1000}));
     assert!(
@@ -90,15 +94,18 @@
     let instance = site.instance("i1", "h");
     until_serving(&instance).await;
     let entry = instance.address("caller");
-    // A slow weight store: the new version takes a while to load.
+    // Slow down the weight store, so that the new version takes a while to load.
     site.platform_faults(&json!({"weight_bytes_per_s": 1000}))
         .await;
     assert!(site.publish(&json!([model("2")])).status.success());
-    let mut answered = 0;
+    let mut responses = 0;
     while orders(&engine).await["loaded"] != json!([{"name": "m", "version": "2"}]) {
-        let answer = complete(&entry, &json!({"max_tokens": 2})).await;
-        assert_eq!(answer.status, 200, "after {answered}: {answer:?}");
-        answered += 1;
+        let response = complete(&entry, &json!({"max_tokens": 2})).await;
+        assert_eq!(
+            response.status, 200,
+            "after {responses} responses: {response:?}"
+        );
+        responses += 1;
     }
     until_serving(&instance).await;
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! A request goes from caller to endpoint and back through separate processes, driven only by published configuration.
+//! End-to-end requests from caller to endpoint and back through separate processes, configured only
+//! by published objects.
 
 mod support;
 
@@ -8,15 +9,15 @@
     until_peers, until_serving,
 };
 
-fn spec() -> Value {
+fn engine_spec() -> Value {
     json!({"step_us": 2000})
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_path_three_halls_examples() {
+async fn example_objects_served_in_three_halls() {
     let site = Site::new();
-    let engine_a = site.engine("tb-engine-01", &spec());
-    let engine_b = site.engine("tb-engine-02", &spec());
+    let engine_a = site.engine("tb-engine-01", &engine_spec());
+    let engine_b = site.engine("tb-engine-02", &engine_spec());
     let fees = site.service("tb-fee-lookup-1");
     let platform = site.platform.address("address");
     for example in ["tavares-brandao", "fuel-cards"] {
@@ -29,16 +30,19 @@
         let published = tool(&["publish", "--platform", &platform, &file]);
         assert!(published.status.success(), "{published:?}");
     }
-    // The endpoints that run here take the place of the example's addresses.
-    let mut here = objects("recife-1", &[("tb-engine-01", &engine_a)], &[]);
+    // Replace the endpoint addresses of the example by those of the endpoints started here.
+    let mut local_objects = objects("recife-1", &[("tb-engine-01", &engine_a)], &[]);
     let second = objects(
         "recife-2",
         &[("tb-engine-02", &engine_b)],
         &[("tb-fee-lookup-1", &fees)],
     );
-    let here = here.as_array_mut().expect("list");
-    here.extend(second.as_array().expect("list").iter().cloned());
-    let endpoints: Vec<&Value> = here.iter().filter(|one| one["kind"] != "hall").collect();
+    let local_objects = local_objects.as_array_mut().expect("list");
+    local_objects.extend(second.as_array().expect("list").iter().cloned());
+    let endpoints: Vec<&Value> = local_objects
+        .iter()
+        .filter(|object| object["kind"] != "hall")
+        .collect();
     let published = site.publish(&json!(endpoints));
     assert!(published.status.success(), "{published:?}");
 
@@ -59,7 +63,10 @@
     assert!(answer["valid_for_ms"].as_u64().is_some());
     let entries = answer["entries"].as_array().expect("entries");
     assert_eq!(entries.len(), 3);
-    assert_eq!(entries[0]["hall"], "recife-1", "the own hall comes first");
+    assert_eq!(
+        entries[0]["hall"], "recife-1",
+        "the instance's own hall is listed first"
+    );
     for entry in entries {
         let address = entry["address"].as_str().expect("address");
         let streamed = read_stream(
@@ -72,10 +79,10 @@
         .await;
         assert_eq!(streamed.end, "done", "{streamed:?}");
         assert_eq!(streamed.indices(), (0..20).collect::<Vec<_>>());
-        let whole = complete(address, &json!({"max_tokens": 5, "prompt": "#length=9 x"})).await;
-        assert_eq!(whole.status, 200, "{whole:?}");
-        assert_eq!(whole.body["choices"][0]["finish_reason"], "length");
-        assert_eq!(whole.body["usage"]["completion_tokens"], 5);
+        let completed = complete(address, &json!({"max_tokens": 5, "prompt": "#length=9 x"})).await;
+        assert_eq!(completed.status, 200, "{completed:?}");
+        assert_eq!(completed.body["choices"][0]["finish_reason"], "length");
+        assert_eq!(completed.body["usage"]["completion_tokens"], 5);
         let service = reqwest::Client::new()
             .post(format!("http://{address}/v1/services/fees/lookup/17"))
             .bearer_auth(KEY)
@@ -87,9 +94,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_completions_whole_and_streamed() {
+async fn chat_completions_buffered_and_streamed() {
     let site = Site::new();
-    let engine = site.engine("e1", &spec());
+    let engine = site.engine("e1", &engine_spec());
     assert!(
         site.publish(&objects("h", &[("e1", &engine)], &[]))
             .status
@@ -104,9 +111,9 @@
             {"role": "user", "content": [{"type": "text", "text": "hello"}]}]})
     };
     let client = reqwest::Client::new();
-    let whole = send(client.post(&url).bearer_auth(KEY).json(&body(false))).await;
-    assert_eq!(whole.body["object"], "chat.completion");
-    assert_eq!(whole.body["choices"][0]["message"]["role"], "assistant");
+    let completed = send(client.post(&url).bearer_auth(KEY).json(&body(false))).await;
+    assert_eq!(completed.body["object"], "chat.completion");
+    assert_eq!(completed.body["choices"][0]["message"]["role"], "assistant");
     let streamed = read_stream(client.post(&url).bearer_auth(KEY).json(&body(true)), 100).await;
     assert_eq!(streamed.end, "done");
     assert_eq!(streamed.indices(), [0, 1, 2]);
@@ -114,9 +121,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-async fn bad_input_typed_error_not_run() {
+async fn invalid_request_typed_error_and_not_run() {
     let site = Site::new();
-    let engine = site.engine("e1", &spec());
+    let engine = site.engine("e1", &engine_spec());
     assert!(
         site.publish(&objects("h", &[("e1", &engine)], &[]))
             .status
@@ -125,70 +132,74 @@
     let instance = site.instance("i1", "h");
     until_serving(&instance).await;
     let entry = instance.address("caller");
-    let base = || reqwest::Client::new().post(format!("http://{entry}/v1/completions"));
-    let keyed = || base().bearer_auth(KEY);
-    let good = json!({"model": "m", "prompt": "hello"});
+    let without_key = || reqwest::Client::new().post(format!("http://{entry}/v1/completions"));
+    let with_key = || without_key().bearer_auth(KEY);
+    let valid = json!({"model": "m", "prompt": "hello"});
     let cases = [
-        ("no key", base().json(&good), 401, "unauthorized"),
+        ("no key", without_key().json(&valid), 401, "unauthorized"),
         (
             "wrong key",
-            base().bearer_auth("nobody").json(&good),
+            without_key().bearer_auth("nobody").json(&valid),
             401,
             "unauthorized",
         ),
-        ("not JSON", keyed().body("{"), 400, "bad_request"),
-        ("empty", keyed().body(""), 400, "bad_request"),
+        ("not JSON", with_key().body("{"), 400, "bad_request"),
+        ("empty", with_key().body(""), 400, "bad_request"),
         (
             "no prompt",
-            keyed().json(&json!({"model": "m"})),
+            with_key().json(&json!({"model": "m"})),
             400,
             "bad_request",
         ),
         (
             "zero tokens",
-            keyed().json(&json!({"model": "m", "prompt": "x", "max_tokens": 0})),
+            with_key().json(&json!({"model": "m", "prompt": "x", "max_tokens": 0})),
             400,
             "bad_request",
         ),
         (
             "unknown model",
-            keyed().json(&json!({"model": "n", "prompt": "x"})),
+            with_key().json(&json!({"model": "n", "prompt": "x"})),
             404,
             "unknown_model",
         ),
         (
             "too large",
-            keyed().body("x".repeat(2 << 20)),
+            with_key().body("x".repeat(2 << 20)),
             413,
             "too_large",
         ),
         (
             "unknown value",
-            keyed().header("Larkwick-Repeatable", "maybe").json(&good),
+            with_key()
+                .header("Larkwick-Repeatable", "maybe")
+                .json(&valid),
             400,
             "bad_request",
         ),
         (
             "unknown header",
-            keyed().header("Larkwick-Repeatble", "false").json(&good),
+            with_key()
+                .header("Larkwick-Repeatble", "false")
+                .json(&valid),
             400,
             "bad_request",
         ),
         (
             "bad ticket",
-            keyed().header("Larkwick-Ticket", "x").json(&good),
+            with_key().header("Larkwick-Ticket", "x").json(&valid),
             400,
             "bad_request",
         ),
         (
             "bad event id",
-            keyed().header("Last-Event-ID", "x").json(&good),
+            with_key().header("Last-Event-ID", "x").json(&valid),
             400,
             "bad_request",
         ),
         (
             "key without ticket",
-            keyed().header("Idempotency-Key", "k").json(&good),
+            with_key().header("Idempotency-Key", "k").json(&valid),
             400,
             "ticket_required",
         ),
@@ -208,21 +219,21 @@
         ),
     ];
     for (name, request, status, kind) in cases {
-        let answered = send(request).await;
+        let response = send(request).await;
         assert_eq!(
-            (answered.status, answered.kind()),
+            (response.status, response.kind()),
             (status, kind),
-            "{name}: {answered:?}"
+            "{name}: {response:?}"
         );
-        assert_eq!(answered.outcome(), "not_run", "{name}");
+        assert_eq!(response.outcome(), "not_run", "{name}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_status_dump_metrics_drain() {
+async fn operator_status_dump_metrics_and_drain() {
     let mut site = Site::new();
     site.times["entries_valid_ms"] = json!(100);
-    let engine = site.engine("e1", &spec());
+    let engine = site.engine("e1", &engine_spec());
     assert!(
         site.publish(&objects("h", &[("e1", &engine)], &[]))
             .status
@@ -251,12 +262,12 @@
         .expect("metrics");
     let metrics = metrics.text().await.expect("text");
     assert!(metrics.contains("larkwick_requests_active"), "{metrics}");
-    let on_callers =
+    let on_caller_address =
         reqwest::get(format!("http://{}/debug/state", instance.address("caller"))).await;
-    assert_eq!(on_callers.expect("answer").status().as_u16(), 404);
+    assert_eq!(on_caller_address.expect("answer").status().as_u16(), 404);
     let platform = site.platform.address("address");
-    let shown = tool(&["config", "show", "--platform", &platform]);
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("endpoint/e1"));
+    let config = tool(&["config", "show", "--platform", &platform]);
+    assert!(String::from_utf8_lossy(&config.stdout).contains("endpoint/e1"));
     let history = tool(&["config", "history", "--platform", &platform]);
     assert!(String::from_utf8_lossy(&history.stdout).contains("accepted"));
     assert!(tool(&["drain", "--operator", &operator]).status.success());
