--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -266,7 +266,7 @@
         let platform = log_service::embedded(core);
         let mut apps = Vec::new();
         for index in 0..instances {
-            let app = App::start_with(settings(index), platform.clone()).await;
+            let app = App::start_with_platform(settings(index), platform.clone()).await;
             apps.push(app.expect("instance"));
         }
         tokio::time::sleep(Duration::from_secs(5)).await;
--- a/src/bin/larkwickd/demo.rs
+++ b/src/bin/larkwickd/demo.rs
@@ -51,7 +51,7 @@
         "demo configuration was not accepted: {published:?}"
     );
     let settings: Settings = parse_jsonc("demo-settings.jsonc", SETTINGS)?;
-    let app = App::start_with(settings, platform)
+    let app = App::start_with_platform(settings, platform)
         .await
         .context("demo instance")?;
     let addresses = app.addresses();
@@ -61,7 +61,7 @@
         "try: curl -N http://{}/v1/completions -H 'Authorization: Bearer demo-key' -d '{{\"model\":\"demo\",\"prompt\":\"hello\",\"stream\":true}}'",
         addresses.caller
     );
-    app.drained_by(async {
+    app.serve_until(async {
         let _ = tokio::signal::ctrl_c().await;
     })
     .await;
--- a/src/bin/larkwickd/main.rs
+++ b/src/bin/larkwickd/main.rs
@@ -73,7 +73,7 @@
     println!("{}", serde_json::to_string(&app.addresses())?);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let stopped = app.drained_by(async move {
+    let stopped = app.serve_until(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -16,11 +16,11 @@
 use serde::de::DeserializeOwned;
 use uuid::Uuid;
 
-use crate::daemon::answer::single;
+use crate::daemon::dispatch;
 use crate::daemon::drain::Entry;
 use crate::daemon::node::Node;
 use crate::daemon::request::{CallerRequest, RequestedWork};
-use crate::daemon::serve;
+use crate::daemon::response::single_event;
 use crate::error::{Error, ErrorKind, Result};
 use headers::CallerHeaders;
 use openai::{ChatBody, CompletionBody, Shape};
@@ -107,7 +107,7 @@
         Err(error) => error_answer(request_id, &error),
         Ok(request) => {
             let reply = openai::Reply::new(shape, &request);
-            render_generation(request_id, serve::start(node, request), reply).await
+            render_generation(request_id, dispatch::start_request(node, request), reply).await
         }
     }
 }
@@ -156,8 +156,8 @@
     let request_id = Uuid::new_v4();
     let prepared = prepare_service(node, name, &path, headers.0, data, request_id).await;
     let answer = match prepared {
-        Ok(request) => serve::start(node, request),
-        Err(error) => single(error),
+        Ok(request) => dispatch::start_request(node, request),
+        Err(error) => single_event(error),
     };
     render_service(request_id, answer).await
 }
--- a/src/caller/openai.rs
+++ b/src/caller/openai.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::daemon::request::{CallerRequest, GenerationAsked, RequestedWork};
+use crate::daemon::request::{CallerRequest, GenerationParams, RequestedWork};
 use crate::endpoint::protocol::FinishReason;
 use crate::error::{Error, ErrorKind, Result};
 
 /// A body that asks for a generation.
 pub(super) trait Asks {
     /// The generation asked for.
-    fn asked(self) -> Result<GenerationAsked>;
+    fn asked(self) -> Result<GenerationParams>;
 }
 
 /// Body of `/v1/completions`. Fields that larkwick does not know are ignored, as callers of this shape expect.
@@ -76,9 +76,9 @@
 }
 
 impl Asks for CompletionBody {
-    fn asked(self) -> Result<GenerationAsked> {
+    fn asked(self) -> Result<GenerationParams> {
         check_max(self.max_tokens)?;
-        Ok(GenerationAsked {
+        Ok(GenerationParams {
             model: self.model,
             prompt: self.prompt,
             max_tokens: self.max_tokens,
@@ -89,7 +89,7 @@
 }
 
 impl Asks for ChatBody {
-    fn asked(self) -> Result<GenerationAsked> {
+    fn asked(self) -> Result<GenerationParams> {
         let max_tokens = self.max_completion_tokens.or(self.max_tokens);
         check_max(max_tokens)?;
         if self.messages.is_empty() {
@@ -107,7 +107,7 @@
                 format!("{}: {text}", message.role)
             }
         });
-        Ok(GenerationAsked {
+        Ok(GenerationParams {
             model: self.model,
             prompt: lines.collect::<Vec<_>>().join("\n"),
             max_tokens,
--- a/src/caller/render.rs
+++ b/src/caller/render.rs
@@ -11,7 +11,7 @@
 use uuid::Uuid;
 
 use super::openai::{Reply, Usage};
-use crate::daemon::answer::{AnswerEvent, AnswerStream};
+use crate::daemon::response::{ResponseEvent, ResponseStream};
 use crate::error::{Error, ErrorDetail, ErrorKind};
 
 const DONE: &str = "[DONE]";
@@ -77,16 +77,16 @@
 }
 
 /// The answer to a call of a plain service.
-pub(super) async fn render_service(request_id: Uuid, mut answer: AnswerStream) -> CallerAnswer {
+pub(super) async fn render_service(request_id: Uuid, mut answer: ResponseStream) -> CallerAnswer {
     match answer.next().await {
-        Some(AnswerEvent::Service(answer)) => CallerAnswer {
+        Some(ResponseEvent::Service(answer)) => CallerAnswer {
             request_id,
             status: Status::new(answer.status),
             content_type: answer.content_type,
             retry_after_ms: None,
             body: Body::Whole(answer.body),
         },
-        Some(AnswerEvent::Error(detail)) => error_answer(request_id, &detail.into()),
+        Some(ResponseEvent::Error(detail)) => error_answer(request_id, &detail.into()),
         Some(_) | None => error_answer(request_id, &cut()),
     }
 }
@@ -94,12 +94,12 @@
 /// The answer to a generation: streamed or whole, as the caller asked.
 pub(super) async fn render_generation(
     request_id: Uuid,
-    mut answer: AnswerStream,
+    mut answer: ResponseStream,
     reply: Reply,
 ) -> CallerAnswer {
     // An error before the first token is an ordinary error answer with its status.
     let first = match answer.next().await {
-        Some(AnswerEvent::Error(detail)) => return error_answer(request_id, &detail.into()),
+        Some(ResponseEvent::Error(detail)) => return error_answer(request_id, &detail.into()),
         Some(first) => first,
         None => return error_answer(request_id, &cut()),
     };
@@ -120,20 +120,20 @@
 }
 
 async fn whole(
-    mut answer: impl Stream<Item = AnswerEvent> + Unpin,
+    mut answer: impl Stream<Item = ResponseEvent> + Unpin,
     reply: &Reply,
 ) -> Result<String, Error> {
     let mut text = String::new();
     while let Some(event) = answer.next().await {
         match event {
-            AnswerEvent::Token { text: token, .. } => text.push_str(&token),
-            AnswerEvent::Done {
+            ResponseEvent::Token { text: token, .. } => text.push_str(&token),
+            ResponseEvent::Done {
                 reason,
                 prompt_tokens,
                 tokens,
             } => return Ok(reply.whole(&text, reason, usage(prompt_tokens, tokens))),
-            AnswerEvent::Error(detail) => return Err(detail.into()),
-            AnswerEvent::Moved { .. } | AnswerEvent::Service(_) => break,
+            ResponseEvent::Error(detail) => return Err(detail.into()),
+            ResponseEvent::Moved { .. } | ResponseEvent::Service(_) => break,
         }
     }
     Err(cut())
@@ -153,29 +153,29 @@
 }
 
 /// Server-sent events; the last one is always `[DONE]`, `error` or `moved`.
-fn streamed(answer: impl Stream<Item = AnswerEvent>, reply: Reply) -> impl Stream<Item = Event> {
+fn streamed(answer: impl Stream<Item = ResponseEvent>, reply: Reply) -> impl Stream<Item = Event> {
     rocket::async_stream::stream! {
         let mut answer = std::pin::pin!(answer);
         while let Some(event) = answer.next().await {
             match event {
-                AnswerEvent::Token { id, text } => {
+                ResponseEvent::Token { id, text } => {
                     yield Event::data(reply.chunk(&text, None, None)).id(id);
                 }
-                AnswerEvent::Done { reason, prompt_tokens, tokens } => {
+                ResponseEvent::Done { reason, prompt_tokens, tokens } => {
                     let usage = usage(prompt_tokens, tokens);
                     yield Event::data(reply.chunk("", Some(reason), Some(usage)));
                     yield Event::data(DONE);
                     return;
                 }
-                AnswerEvent::Moved { entries } => {
+                ResponseEvent::Moved { entries } => {
                     yield Event::json(&Moved { entries }).event("moved");
                     return;
                 }
-                AnswerEvent::Error(detail) => {
+                ResponseEvent::Error(detail) => {
                     yield error_event(&detail);
                     return;
                 }
-                AnswerEvent::Service(_) => break,
+                ResponseEvent::Service(_) => break,
             }
         }
         yield error_event(&cut().body().error);
--- a/src/daemon/app.rs
+++ b/src/daemon/app.rs
@@ -1,4 +1,5 @@
-//! Starts an instance: binds its listeners, then runs its loops until a planned stop is complete.
+//! Starts an instance: binds its listeners, then runs its background tasks until a planned stop is
+//! complete.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +21,8 @@
 use crate::standin::server::{Server, rocket_at, start, stop_all};
 use crate::{caller, operator};
 
-const MESSAGE_MAX_BYTES: usize = 64 << 20;
+/// Maximum size of a gRPC message between peers, sent or received.
+const PEER_MESSAGE_MAX_BYTES: usize = 64 << 20;
 
 /// A running instance.
 ///
@@ -38,10 +40,12 @@
 pub struct App {
     node: Arc<Node>,
     servers: Vec<Server>,
-    loops: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
-/// The process's metrics; instances in one process share them.
+/// Returns the metrics recorder of the process, which is installed on the first call.
+///
+/// All instances in one process share it.
 pub(crate) fn metrics_handle() -> anyhow::Result<PrometheusHandle> {
     static HANDLE: Mutex<Option<PrometheusHandle>> = Mutex::new(None);
     let mut handle = HANDLE.lock();
@@ -56,22 +60,25 @@
 }
 
 impl App {
-    /// Starts an instance with the platform that its settings name.
+    /// Starts an instance with the platform named in its settings.
     ///
     /// # Errors
-    /// The settings are wrong or an address cannot be bound.
+    /// Returns an error if the settings are invalid or an address cannot be bound.
     pub async fn start(settings: Settings) -> anyhow::Result<Self> {
         settings.check()?;
         let platform =
             log_service::connect(&settings.platform.plugin, &settings.platform.addresses)?;
-        Self::start_with(settings, platform).await
+        Self::start_with_platform(settings, platform).await
     }
 
-    /// Starts an instance with a platform at hand.
+    /// Starts an instance with the given platform.
     ///
     /// # Errors
-    /// As for [`App::start`].
-    pub async fn start_with(settings: Settings, platform: Platform) -> anyhow::Result<Self> {
+    /// Returns the same errors as [`App::start`].
+    pub async fn start_with_platform(
+        settings: Settings,
+        platform: Platform,
+    ) -> anyhow::Result<Self> {
         settings.check()?;
         let metrics = metrics_handle()?;
         let node = Arc::new(Node::new(
@@ -83,16 +90,16 @@
         let rocket = rocket_at(settings.caller_address).manage(node.clone());
         let callers = start(caller::mount(rocket))
             .await
-            .context("caller_address")?;
+            .context("cannot start the server at caller_address")?;
         let rocket = rocket_at(settings.operator_address)
             .manage(node.clone())
             .manage(metrics);
         let operators = start(operator::mount(rocket))
             .await
-            .context("operator_address")?;
+            .context("cannot start the server at operator_address")?;
         let peers = TcpListener::bind(settings.peer_address)
             .await
-            .context("peer_address cannot be bound")?;
+            .context("cannot bind peer_address")?;
         node.set_addresses(Addresses {
             caller: callers.address,
             operator: operators.address,
@@ -100,11 +107,11 @@
         });
         let mut app = Self {
             servers: vec![callers, operators],
-            loops: Vec::new(),
+            tasks: Vec::new(),
             node,
         };
         app.spawn_peer_server(peers);
-        app.spawn_loops();
+        app.spawn_background_tasks();
         info!("instance started", kv: {
             instance = app.node.incarnation.name.as_str(),
             incarnation: = app.node.incarnation.id,
@@ -114,27 +121,27 @@
 
     fn spawn_peer_server(&mut self, listener: TcpListener) {
         let service = PeerServer::new(PeerService::new(self.node.clone()))
-            .max_decoding_message_size(MESSAGE_MAX_BYTES)
-            .max_encoding_message_size(MESSAGE_MAX_BYTES);
+            .max_decoding_message_size(PEER_MESSAGE_MAX_BYTES)
+            .max_encoding_message_size(PEER_MESSAGE_MAX_BYTES);
         let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener);
-        self.loops.push(tokio::spawn(async move {
+        self.tasks.push(tokio::spawn(async move {
             let served = tonic::transport::Server::builder()
                 .tcp_nodelay(true)
                 .add_service(service)
                 .serve_with_incoming(incoming);
             if let Err(error) = served.await {
-                spdlog::error!("peer server ended: {}", error);
+                spdlog::error!("server for peers failed: {}", error);
             }
         }));
     }
 
-    fn spawn_loops(&mut self) {
+    fn spawn_background_tasks(&mut self) {
         let node = &self.node;
-        self.loops.extend([
+        self.tasks.extend([
             tokio::spawn(config_loop::run(node.clone())),
-            tokio::spawn(member_loop::run_beats(node.clone())),
-            tokio::spawn(member_loop::run_list(node.clone())),
-            tokio::spawn(member_loop::run_epochs(node.clone())),
+            tokio::spawn(member_loop::run_heartbeats(node.clone())),
+            tokio::spawn(member_loop::run_instance_list(node.clone())),
+            tokio::spawn(member_loop::run_ticket_epochs(node.clone())),
             tokio::spawn(endpoints::run(node.clone())),
             tokio::spawn(owner::run(node.clone())),
             tokio::spawn(reservations::run(node.clone())),
@@ -142,46 +149,46 @@
         ]);
     }
 
-    /// Where the instance listens.
+    /// Returns the addresses that the instance listens on.
     #[must_use]
     pub fn addresses(&self) -> Addresses {
         self.node.addresses()
     }
 
-    /// Begins a planned stop; [`App::stopped`] ends when it is complete.
+    /// Begins a planned stop; [`App::stopped`] returns when it is complete.
     pub fn drain(&self) {
         tokio::spawn(drain::run(self.node.clone()));
     }
 
-    /// Serves until `stop` ends, then runs a planned stop to its end.
-    pub async fn drained_by(self, stop: impl Future<Output = ()>) {
-        let mut phase = self.node.work.watch_phase();
+    /// Serves until `stop` completes, then runs a planned stop to its end.
+    pub async fn serve_until(self, stop: impl Future<Output = ()>) {
+        let mut phase = self.node.drain_state.subscribe_phase();
         tokio::select! {
             () = stop => self.drain(),
-            // Operators may begin one too.
+            // An operator can begin a planned stop as well.
             _ = phase.wait_for(|phase| *phase > Phase::Serving) => {}
         }
         self.stopped().await;
     }
 
-    /// Waits until a planned stop is complete and everything has ended.
+    /// Waits until a planned stop is complete, then ends all servers and background tasks.
     pub async fn stopped(self) {
-        let mut phase = self.node.work.watch_phase();
-        // The sender lives in the node, which this value holds.
+        let mut phase = self.node.drain_state.subscribe_phase();
+        // This cannot fail: the node, which `self` holds, owns the sender.
         let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
         self.abort().await;
     }
 
-    /// Ends at once; requests in flight are cut.
+    /// Ends the instance immediately; requests in flight are aborted.
     pub async fn abort(self) {
-        for one in &self.loops {
-            one.abort();
+        for task in &self.tasks {
+            task.abort();
         }
         stop_all(self.servers).await;
     }
 }
 
-/// A free port on the loopback address.
+/// Returns a loopback address whose port is chosen by the system when it is bound.
 #[must_use]
 pub fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -1,4 +1,5 @@
-//! Reads the log, folds its records, passes them on to peers and keeps snapshots in the log.
+//! Reads the configuration log, applies its records, serves them to peers and writes snapshots to
+//! the log.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,42 +20,45 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-/// Records kept for peers.
-const RECENT_RECORDS: usize = 2_048;
+/// Maximum number of applied records kept in memory for peers.
+const RECENT_RECORDS_MAX: usize = 2_048;
+/// Timeout of fetching configuration from a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Instances per hall that read the log at the full rate; the others are told by peers.
-const READERS_PER_HALL: usize = 2;
-/// The others read the log this many times less often.
-const FALLBACK_READ_EVERY: u32 = 10;
-/// Snapshots in the log per time that the log keeps records.
+/// Instances per hall that read the log in every round; the others fetch new records from peers.
+const LOG_READERS_PER_HALL: usize = 2;
+/// Rounds between two reads of the log by an instance that is not a log reader.
+const FALLBACK_READ_ROUNDS: u32 = 10;
+/// Snapshots written per retention period of the log.
 const SNAPSHOTS_PER_RETENTION: u32 = 4;
-/// A snapshot is written at the latest after this many records.
-const SNAPSHOT_AFTER_RECORDS: u64 = 50_000;
+/// A snapshot is due when more than this many records follow the last one.
+const SNAPSHOT_INTERVAL_RECORDS: u64 = 50_000;
 
-/// The fold and what peers may ask of it.
+/// The configuration state machine and the recent records that peers can fetch.
 #[derive(Default)]
-pub(crate) struct ConfigShard {
+pub(crate) struct SharedConfig {
     inner: Mutex<Inner>,
 }
 
 #[derive(Default)]
 struct Inner {
-    fold: ConfigStateMachine,
-    /// The newest records applied, oldest first; the last one has offset `next_offset - 1`.
-    recent: VecDeque<Value>,
+    state_machine: ConfigStateMachine,
+    /// The most recently applied records, oldest first; the last has offset `next_offset - 1`.
+    recent_records: VecDeque<Value>,
     /// When the log or a live peer last confirmed this state.
     last_contact: Duration,
-    last_snapshot: Option<SnapshotSeen>,
-    disagreements: u64,
+    last_snapshot: Option<ObservedSnapshot>,
+    snapshot_disagreements: u64,
 }
 
+/// A snapshot found in the log.
 #[derive(Clone, Copy)]
-struct SnapshotSeen {
+struct ObservedSnapshot {
     next_offset: u64,
-    at: Duration,
+    /// When this instance read it.
+    observed_at: Duration,
 }
 
-/// The shard in a dump.
+/// Summary of the configuration for the debug dump.
 #[derive(Debug, Serialize)]
 pub(crate) struct ConfigDump {
     next_offset: u64,
@@ -66,31 +70,37 @@
     snapshot_disagreements: u64,
 }
 
-impl ConfigShard {
-    /// Offset of the next record.
+impl SharedConfig {
+    /// Returns the offset of the next record to apply.
     pub(crate) fn next_offset(&self) -> u64 {
-        self.inner.lock().fold.state().next_offset
+        self.inner.lock().state_machine.state().next_offset
     }
 
-    /// When the state was last confirmed.
+    /// Returns when the log or a live peer last confirmed this state.
     pub(crate) fn last_contact(&self) -> Duration {
         self.inner.lock().last_contact
     }
 
-    /// The claim in force for a hall.
+    /// Returns the lease in force for `hall`.
     pub(crate) fn lease(&self, hall: &str) -> Option<HeldLease> {
-        self.inner.lock().fold.state().leases.held(hall).cloned()
+        self.inner
+            .lock()
+            .state_machine
+            .state()
+            .leases
+            .held(hall)
+            .cloned()
     }
 
-    /// A copy of the state.
+    /// Returns a copy of the configuration state.
     pub(crate) fn state(&self) -> ConfigState {
-        self.inner.lock().fold.state().clone()
+        self.inner.lock().state_machine.state().clone()
     }
 
-    /// Counts for the dump.
+    /// Returns the summary for the debug dump.
     pub(crate) fn dump(&self, now: Duration) -> ConfigDump {
         let inner = self.inner.lock();
-        let state = inner.fold.state();
+        let state = inner.state_machine.state();
         ConfigDump {
             next_offset: state.next_offset,
             objects: state.objects.len(),
@@ -99,20 +109,23 @@
             last_contact_ms_ago: crate::kernel::clock::millis(
                 now.saturating_sub(inner.last_contact),
             ),
-            snapshot_next_offset: inner.last_snapshot.map(|seen| seen.next_offset),
-            snapshot_disagreements: inner.disagreements,
+            snapshot_next_offset: inner.last_snapshot.map(|snapshot| snapshot.next_offset),
+            snapshot_disagreements: inner.snapshot_disagreements,
         }
     }
 }
 
-/// What a peer gets that asks for records from an offset on.
-pub(crate) fn give(node: &Node, from_offset: u64) -> wire::FetchConfigReply {
+/// Builds the reply to a peer that requests the records from `from_offset` on.
+///
+/// The reply holds the whole state instead of records if the requested records are no longer in
+/// memory.
+pub(crate) fn build_fetch_reply(node: &Node, from_offset: u64) -> wire::FetchConfigReply {
     let inner = node.config.inner.lock();
-    let next_offset = inner.fold.state().next_offset;
-    let first_recent = next_offset - inner.recent.len() as u64;
+    let next_offset = inner.state_machine.state().next_offset;
+    let first_recent = next_offset - inner.recent_records.len() as u64;
     if from_offset >= first_recent {
         let skip = usize::try_from(from_offset - first_recent).unwrap_or(usize::MAX);
-        let records = inner.recent.iter().skip(skip).map(Value::to_string);
+        let records = inner.recent_records.iter().skip(skip).map(Value::to_string);
         return wire::FetchConfigReply {
             next_offset,
             records: records.collect(),
@@ -122,54 +135,57 @@
     wire::FetchConfigReply {
         next_offset,
         records: Vec::new(),
-        state: serde_json::to_string(inner.fold.state()).unwrap_or_default(),
+        state: serde_json::to_string(inner.state_machine.state()).unwrap_or_default(),
     }
 }
 
-/// Applies consecutive records that begin at `first_offset`. Gives false where records in between are missing.
-fn take_records(node: &Node, first_offset: u64, values: Vec<Value>) -> bool {
-    let records: Vec<Option<Record>> = values.iter().map(Record::deserialize_from).collect();
+/// Applies consecutive records that start at `first_offset`.
+///
+/// Returns `false` if records before them are missing.
+fn apply_records(node: &Node, first_offset: u64, values: Vec<Value>) -> bool {
+    let records: Vec<Option<Record>> = values.iter().map(Record::from_json).collect();
     let now = node.now();
     let mut inner = node.config.inner.lock();
-    let before = inner.fold.state().next_offset;
+    let expected_offset = inner.state_machine.state().next_offset;
     let read = LogRead {
         first_offset,
         records: &records,
     };
-    let applied = match inner.fold.catch_up(&read) {
+    let applied = match inner.state_machine.catch_up(&read) {
         Ok(applied) => applied,
         Err(gap) => {
             warn!("configuration cannot be continued: {}", gap);
             return false;
         }
     };
-    let jumped = first_offset > before;
-    if jumped {
-        inner.recent.clear();
+    let skipped_ahead = first_offset > expected_offset;
+    if skipped_ahead {
+        inner.recent_records.clear();
     }
-    let new = values.len().saturating_sub(applied.len());
-    for value in values.into_iter().skip(new) {
-        if inner.recent.len() == RECENT_RECORDS {
-            inner.recent.pop_front();
+    let already_applied = values.len().saturating_sub(applied.len());
+    for value in values.into_iter().skip(already_applied) {
+        if inner.recent_records.len() == RECENT_RECORDS_MAX {
+            inner.recent_records.pop_front();
         }
-        inner.recent.push_back(value);
+        inner.recent_records.push_back(value);
     }
-    // The age of snapshots found at the start is unknown, so they count for nothing.
+    // The age of snapshots found while catching up after start-up is unknown, so they are ignored.
     if inner.last_contact > Duration::ZERO {
-        inner.note_snapshots(&records, now);
+        inner.record_snapshots(&records, now);
     }
-    inner.note_disagreements(&applied);
-    let changed = jumped
+    inner.record_snapshot_disagreements(&applied);
+    let changed = skipped_ahead
         || applied
             .iter()
-            .any(|one| matches!(one, RecordEffect::PublishDecided(_)));
-    let catalog = changed.then(|| Catalog::new(inner.fold.state()));
+            .any(|effect| matches!(effect, RecordEffect::PublishDecided(_)));
+    let catalog = changed.then(|| Catalog::new(inner.state_machine.state()));
     drop(inner);
-    install(node, catalog);
+    activate_catalog(node, catalog);
     true
 }
 
-fn install(node: &Node, catalog: Option<Catalog>) {
+/// Makes `catalog` the one in force, if there is one.
+fn activate_catalog(node: &Node, catalog: Option<Catalog>) {
     let Some(catalog) = catalog else { return };
     node.set_catalog(catalog);
     metrics::counter!("larkwick_config_changes_total").increment(1);
@@ -177,26 +193,29 @@
 }
 
 impl Inner {
-    fn note_snapshots(&mut self, records: &[Option<Record>], now: Duration) {
+    fn record_snapshots(&mut self, records: &[Option<Record>], now: Duration) {
         let newest = records.iter().rev().find_map(|record| match record {
             Some(Record::Snapshot(snapshot)) => Some(snapshot.state.next_offset),
             _ => None,
         });
         if let Some(next_offset) = newest {
-            self.last_snapshot = Some(SnapshotSeen {
+            self.last_snapshot = Some(ObservedSnapshot {
                 next_offset,
-                at: now,
+                observed_at: now,
             });
         }
     }
 
-    fn note_disagreements(&mut self, applied: &[RecordEffect]) {
-        let disagree = RecordEffect::Snapshot {
+    fn record_snapshot_disagreements(&mut self, applied: &[RecordEffect]) {
+        let disagreement = RecordEffect::Snapshot {
             digest_matches: Some(false),
         };
-        let count = applied.iter().filter(|one| **one == disagree).count() as u64;
+        let count = applied
+            .iter()
+            .filter(|effect| **effect == disagreement)
+            .count() as u64;
         if count > 0 {
-            self.disagreements += count;
+            self.snapshot_disagreements += count;
             metrics::counter!("larkwick_config_disagreements_total").increment(count);
             spdlog::error!("another instance's snapshot differs from this instance's state");
         }
@@ -204,29 +223,29 @@
 }
 
 impl Record {
-    fn deserialize_from(value: &Value) -> Option<Self> {
+    fn from_json(value: &Value) -> Option<Self> {
         serde::Deserialize::deserialize(value).ok()
     }
 }
 
-/// Reads the log until its head.
+/// Reads and applies the log up to its head.
 async fn read_log(node: &Node) -> Result<(), PlatformError> {
     loop {
         let from = node.config.next_offset();
         let mut page = node.platform.log.read(CONFIG_STREAM, from).await?;
         let first_offset = page.first_offset;
         let mut values = std::mem::take(&mut page.records);
-        let gap = first_offset > from;
-        while gap && first_offset + (values.len() as u64) < page.head {
-            // The snapshot that closes the gap may stand anywhere up to the head.
+        let has_gap = first_offset > from;
+        while has_gap && first_offset + (values.len() as u64) < page.head {
+            // The snapshot that covers the missing records may be anywhere up to the head.
             let next = first_offset + values.len() as u64;
             page = node.platform.log.read(CONFIG_STREAM, next).await?;
             values.append(&mut page.records);
         }
-        if !values.is_empty() && !take_records(node, first_offset, values) {
+        if !values.is_empty() && !apply_records(node, first_offset, values) {
             return Ok(());
         }
-        if gap && node.config.next_offset() == from {
+        if has_gap && node.config.next_offset() == from {
             return Ok(());
         }
         if node.config.next_offset() >= page.head {
@@ -236,7 +255,7 @@
     }
 }
 
-/// Takes records or state from a peer that is ahead.
+/// Fetches records or the whole state from a peer that is ahead, and applies them.
 pub(crate) async fn fetch_from_peer(node: &Node, address: &str) -> Result<(), tonic::Status> {
     let from_offset = node.config.next_offset();
     let mut client = node.peers.to(address)?;
@@ -251,58 +270,61 @@
             .iter()
             .filter_map(|text| serde_json::from_str(text).ok())
             .collect();
-        take_records(node, from_offset, values);
+        apply_records(node, from_offset, values);
         return Ok(());
     }
     let state: ConfigState = serde_json::from_str(&reply.state)
         .map_err(|error| tonic::Status::data_loss(error.to_string()))?;
     let catalog = {
         let mut inner = node.config.inner.lock();
-        if !inner.fold.install_peer_state(state) {
+        if !inner.state_machine.install_peer_state(state) {
             return Ok(());
         }
-        inner.recent.clear();
-        Catalog::new(inner.fold.state())
+        inner.recent_records.clear();
+        Catalog::new(inner.state_machine.state())
     };
-    install(node, Some(catalog));
+    activate_catalog(node, Some(catalog));
     Ok(())
 }
 
 /// Records that a live peer confirmed this state.
-pub(crate) fn confirmed_by_peer(node: &Node) {
+pub(crate) fn record_peer_confirmation(node: &Node) {
     node.config.inner.lock().last_contact = node.now();
 }
 
-/// Whether this instance is among its hall's readers of the log.
-fn is_reader(node: &Node) -> bool {
+/// Returns whether this instance is one of the log readers of its hall.
+fn is_log_reader(node: &Node) -> bool {
     let hall = &node.settings.hall;
-    let own = rendezvous_weight(hall, &node.incarnation.name);
+    let own_weight = rendezvous_weight(hall, &node.incarnation.name);
     let members = node.members.lock();
-    let ahead = members
+    let higher_ranked = members
         .live(&node.settings.hall, node.now())
         .filter(|peer| peer.status.hall == *hall)
-        .filter(|peer| rendezvous_weight(hall, &peer.status.incarnation.name) > own)
+        .filter(|peer| rendezvous_weight(hall, &peer.status.incarnation.name) > own_weight)
         .count();
-    ahead < READERS_PER_HALL
+    higher_ranked < LOG_READERS_PER_HALL
 }
 
-/// Writes a snapshot where none is recent enough. All instances try at different times, so that one write suffices.
-async fn maybe_snapshot(node: &Node) {
+/// Writes a snapshot to the log if the last one is too old or too many records follow it.
+///
+/// Instances attempt this at different times, so usually only one of them writes.
+async fn write_snapshot_if_due(node: &Node) {
     let retention = ms(node.settings.times.log_retention_ms);
     let now = node.now();
     let snapshot = {
         let mut inner = node.config.inner.lock();
-        let next_offset = inner.fold.state().next_offset;
-        let due = match inner.last_snapshot {
+        let next_offset = inner.state_machine.state().next_offset;
+        let is_due = match inner.last_snapshot {
             None => next_offset > 0,
-            Some(seen) => {
-                let old = now.saturating_sub(seen.at) > retention / SNAPSHOTS_PER_RETENTION;
-                let long = next_offset > seen.next_offset + SNAPSHOT_AFTER_RECORDS;
-                // A snapshot record alone gives nothing new to keep.
-                old || long
+            Some(last) => {
+                let is_old =
+                    now.saturating_sub(last.observed_at) > retention / SNAPSHOTS_PER_RETENTION;
+                let has_many_records = next_offset > last.next_offset + SNAPSHOT_INTERVAL_RECORDS;
+                // A snapshot record alone is no reason to write another snapshot.
+                is_old || has_many_records
             }
         };
-        due.then(|| inner.fold.snapshot(&node.incarnation.name))
+        is_due.then(|| inner.state_machine.snapshot(&node.incarnation.name))
     };
     let Some(snapshot) = snapshot else { return };
     let next_offset = snapshot.state.next_offset;
@@ -310,44 +332,47 @@
         return;
     };
     match node.platform.log.append(CONFIG_STREAM, record).await {
-        Ok(offset) => info!("snapshot written", kv: { offset, next_offset }),
-        Err(error) => warn!("snapshot not written: {}", error),
+        Ok(offset) => info!("snapshot written to the log", kv: { offset, next_offset }),
+        Err(error) => warn!("cannot write snapshot to the log: {}", error),
     }
 }
 
-/// Runs for the life of the node.
+/// Keeps the configuration up to date until the node stops.
 pub(crate) async fn run(node: Arc<Node>) {
-    let poll = ms(node.settings.times.config_poll_ms);
+    let poll_interval = ms(node.settings.times.config_poll_ms);
     let mut round: u32 = 0;
     loop {
-        let reads = is_reader(&node) || round.is_multiple_of(FALLBACK_READ_EVERY);
-        if reads {
+        let should_read = is_log_reader(&node) || round.is_multiple_of(FALLBACK_READ_ROUNDS);
+        if should_read {
             match read_log(&node).await {
                 Ok(()) => {
                     if is_snapshot_writer(&node, round) {
-                        maybe_snapshot(&node).await;
+                        write_snapshot_if_due(&node).await;
                     }
                 }
                 Err(error) => {
                     metrics::counter!("larkwick_log_read_failures_total").increment(1);
-                    if round.is_multiple_of(FALLBACK_READ_EVERY) {
+                    if round.is_multiple_of(FALLBACK_READ_ROUNDS) {
                         warn!("log cannot be read: {}", error);
                     }
                 }
             }
         }
         round = round.wrapping_add(1);
-        tokio::time::sleep(poll).await;
+        tokio::time::sleep(poll_interval).await;
     }
 }
 
-/// The instance with the highest weight writes; the others only from time to time, should it fail to.
+/// Returns whether this instance attempts to write a snapshot in this round.
+///
+/// The instance with the highest rendezvous weight attempts it in every round in which it reads the
+/// log. The others attempt it only occasionally, in case that instance fails to write.
 fn is_snapshot_writer(node: &Node, round: u32) -> bool {
-    const OTHERS_EVERY: u32 = 64;
-    let own = rendezvous_weight("snapshot", &node.incarnation.name);
+    const FALLBACK_WRITE_ROUNDS: u32 = 64;
+    let own_weight = rendezvous_weight("snapshot", &node.incarnation.name);
     let members = node.members.lock();
-    let first = members
+    let is_highest = members
         .live(&node.settings.hall, node.now())
-        .all(|peer| rendezvous_weight("snapshot", &peer.status.incarnation.name) < own);
-    first || (round > 0 && round.is_multiple_of(OTHERS_EVERY))
+        .all(|peer| rendezvous_weight("snapshot", &peer.status.incarnation.name) < own_weight);
+    is_highest || (round > 0 && round.is_multiple_of(FALLBACK_WRITE_ROUNDS))
 }
--- a/src/daemon/serve.rs
+++ b/src/daemon/dispatch.rs
@@ -1,79 +1,91 @@
-//! Takes a caller's request to its answer: once-only requests through the memory, others straight to their run.
+//! Dispatches callers' requests: those with an idempotency key go through the idempotency cache,
+//! others run directly.
 
 use std::sync::Arc;
 
 use spdlog::info;
 
-use super::answer::{AnswerEvent, AnswerSink, AnswerStream, RememberedAnswer, channel, single};
 use super::generation;
+use super::idempotency::IdempotencyDecision;
 use super::node::Node;
-use super::once::OnceDecision;
 use super::request::{CallerRequest, RequestedWork};
+use super::response::{
+    ResponseEvent, ResponseSink, ResponseStream, StoredResponse, response_channel, single_event,
+};
 use super::service_call;
 use crate::error::{Error, ErrorKind};
 use crate::kernel::ticket::{IdempotencyKey, Ticket};
 use crate::peer::generated as wire;
 
-/// Starts a request and gives its answer.
-pub(crate) fn start(node: &Arc<Node>, request: CallerRequest) -> AnswerStream {
-    start_at(node, request, true)
+/// Starts a request and returns its response.
+pub(crate) fn start_request(node: &Arc<Node>, request: CallerRequest) -> ResponseStream {
+    dispatch(node, request, true)
 }
 
-/// Starts a request that a peer relayed; it is not relayed again.
-pub(crate) fn start_relayed(node: &Arc<Node>, request: CallerRequest) -> AnswerStream {
-    start_at(node, request, false)
+/// Starts a request that a peer relayed, and returns its response.
+///
+/// The request is not relayed again.
+pub(crate) fn start_relayed_request(node: &Arc<Node>, request: CallerRequest) -> ResponseStream {
+    dispatch(node, request, false)
 }
 
-fn start_at(node: &Arc<Node>, request: CallerRequest, may_relay: bool) -> AnswerStream {
+fn dispatch(node: &Arc<Node>, request: CallerRequest, can_relay: bool) -> ResponseStream {
     let Some(key) = request.options.idempotency_key.clone() else {
-        let (sink, stream) = channel();
-        tokio::spawn(run(node.clone(), request, sink));
+        let (sink, stream) = response_channel();
+        tokio::spawn(run_request(node.clone(), request, sink));
         return stream;
     };
     let Some(ticket) = request.options.ticket.clone() else {
-        return single(Error::new(
+        return single_event(Error::new(
             ErrorKind::TicketRequired,
             "an idempotency key needs a ticket; take one from /v1/entries",
         ));
     };
     let account = match node.catalog().account_for_key(&request.bearer_key) {
         Ok(account) => account.name.clone(),
-        Err(error) => return single(error),
+        Err(error) => return single_event(error),
     };
-    let once_key = IdempotencyKey { account, key };
-    match node.once.arrive(&ticket, &once_key) {
-        OnceDecision::Run(answer) => {
-            tokio::spawn(run_once(node.clone(), request, once_key, answer.clone()));
-            answer.read()
+    let idempotency_key = IdempotencyKey { account, key };
+    match node.idempotency.admit(&ticket, &idempotency_key) {
+        IdempotencyDecision::Run(response) => {
+            tokio::spawn(run_once(
+                node.clone(),
+                request,
+                idempotency_key,
+                response.clone(),
+            ));
+            response.read()
         }
-        OnceDecision::Join(answer) => {
+        IdempotencyDecision::Join(response) => {
             metrics::counter!("larkwick_once_joined_total").increment(1);
-            answer.read()
+            response.read()
         }
-        OnceDecision::Refuse(error) => single(error),
-        OnceDecision::Relay if may_relay => relay(node.clone(), ticket, request),
-        OnceDecision::Relay => single(gone(&ticket)),
+        IdempotencyDecision::Refuse(error) => single_event(error),
+        IdempotencyDecision::Relay if can_relay => relay(node.clone(), ticket, request),
+        IdempotencyDecision::Relay => single_event(instance_gone(&ticket)),
     }
 }
 
+/// Runs a new request with an idempotency key and records its response.
 async fn run_once(
     node: Arc<Node>,
     request: CallerRequest,
     key: IdempotencyKey,
-    answer: Arc<RememberedAnswer>,
+    response: Arc<StoredResponse>,
 ) {
-    run(
+    run_request(
         node.clone(),
         request,
-        AnswerSink::Remembered(answer.clone()),
+        ResponseSink::Stored(response.clone()),
     )
     .await;
-    node.once.finished(&key, &answer);
+    node.idempotency.record_response(&key, &response);
 }
 
-async fn run(node: Arc<Node>, request: CallerRequest, sink: AnswerSink) {
-    let _active = node.begin();
-    if node.stands_down() {
+/// Runs a request and writes its response to `sink`.
+async fn run_request(node: Arc<Node>, request: CallerRequest, sink: ResponseSink) {
+    let _active = node.track_request();
+    if node.is_standing_down() {
         let error = Error::new(
             ErrorKind::StandingDown,
             "this instance may not know the configuration in force; use another entry",
@@ -83,8 +95,8 @@
     }
     let request_id = request.request_id;
     match &request.work {
-        RequestedWork::Generation(asked) => {
-            generation::run(&node, &request, asked, &sink).await;
+        RequestedWork::Generation(params) => {
+            generation::run(&node, &request, params, &sink).await;
         }
         RequestedWork::Resume { last_event_id } => {
             generation::resume(&node, &request, last_event_id, &sink).await;
@@ -94,7 +106,7 @@
     info!("request ended", kv: { request_id: });
 }
 
-fn gone(ticket: &Ticket) -> Error {
+fn instance_gone(ticket: &Ticket) -> Error {
     Error::new(
         ErrorKind::InstanceGone,
         format!(
@@ -104,41 +116,45 @@
     )
 }
 
-/// Has the instance that the ticket names answer. If it cannot, nobody here knows whether it ran the request.
-fn relay(node: Arc<Node>, ticket: Ticket, request: CallerRequest) -> AnswerStream {
+/// Relays a request to the instance that issued its ticket, and returns that instance's response.
+///
+/// If that instance cannot be reached or its response breaks off, it is unknown whether the request
+/// ran, so the response ends with an [`ErrorKind::InstanceGone`] error.
+fn relay(node: Arc<Node>, ticket: Ticket, request: CallerRequest) -> ResponseStream {
     Box::pin(rocket::async_stream::stream! {
         let address = {
             let members = node.members.lock();
             members.get(&ticket.instance).map(|peer| peer.status.peer_address.clone())
         };
         let Some(address) = address else {
-            yield gone(&ticket).into();
+            yield instance_gone(&ticket).into();
             return;
         };
         metrics::counter!("larkwick_relayed_total").increment(1);
         let Ok(events) = open_relay(&node, &address, &request).await else {
-            yield gone(&ticket).into();
+            yield instance_gone(&ticket).into();
             return;
         };
         let mut events = events;
         loop {
             let event = match events.message().await {
-                Ok(Some(message)) => serde_json::from_str::<AnswerEvent>(&message.event).ok(),
+                Ok(Some(message)) => serde_json::from_str::<ResponseEvent>(&message.event).ok(),
                 Ok(None) | Err(_) => None,
             };
             let Some(event) = event else {
-                yield gone(&ticket).into();
+                yield instance_gone(&ticket).into();
                 return;
             };
-            let last = event.is_last();
+            let is_last = event.is_last();
             yield event;
-            if last {
+            if is_last {
                 return;
             }
         }
     })
 }
 
+/// Sends a request to the peer at `address` and returns the stream of its response.
 async fn open_relay(
     node: &Node,
     address: &str,
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no request is cut.
+//! Planned stop of an instance, which aborts no request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use serde::Serialize;
 use spdlog::info;
 
-use super::member_loop::{beat_round, list_round};
+use super::member_loop::{send_heartbeats, sync_instance_list};
 use super::node::{Node, Phase};
 use crate::kernel::membership::PEER_HEARTBEAT_TIMEOUT;
 use crate::settings::ms;
 
-const CHECK_EVERY: Duration = Duration::from_millis(50);
-/// Time with nothing in flight after which the stop is complete.
-const QUIET: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The stop is complete after this long without a request in flight.
+const IDLE_PERIOD: Duration = Duration::from_millis(500);
 
-/// An address for callers, with what a once-only request needs.
+/// An instance that callers may use, with the ticket that a request to run at most once needs.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Entry {
     pub(crate) address: String,
@@ -25,7 +25,7 @@
 }
 
 impl Node {
-    /// Addresses that callers may use, this hall's first.
+    /// Returns the instances that callers may use, in random order but those of this hall first.
     pub(crate) fn entries(&self) -> Vec<Entry> {
         use rand::seq::SliceRandom;
         let now = self.now();
@@ -47,13 +47,13 @@
             });
             live.collect()
         };
-        if self.work.phase() == Phase::Serving && !self.stands_down() {
-            let status = self.status();
+        if self.drain_state.phase() == Phase::Serving && !self.is_standing_down() {
+            let status = self.own_status();
             entries.push(Entry {
                 address: status.caller_address,
                 instance: status.incarnation.name,
                 hall: status.hall,
-                ticket: self.once.ticket().to_string(),
+                ticket: self.idempotency.issue_ticket().to_string(),
             });
         }
         entries.shuffle(&mut rand::rng());
@@ -61,8 +61,8 @@
         entries
     }
 
-    /// Addresses of other instances.
-    pub(crate) fn other_entries(&self) -> Vec<String> {
+    /// Returns the caller addresses of the other instances, those of this hall first.
+    pub(crate) fn other_entry_addresses(&self) -> Vec<String> {
         let own = &self.incarnation.name;
         let entries = self.entries().into_iter();
         entries
@@ -72,45 +72,54 @@
     }
 }
 
-async fn wait_idle(node: &Node, limit: Duration) -> bool {
-    let give_up = node.now() + limit;
+/// Waits until no request has been in flight for [`IDLE_PERIOD`].
+///
+/// Returns `false` if that does not happen within `timeout`.
+async fn wait_idle(node: &Node, timeout: Duration) -> bool {
+    let deadline = node.now() + timeout;
     let mut idle_since = None;
-    while node.now() < give_up {
-        if node.work.active() == 0 {
+    while node.now() < deadline {
+        if node.drain_state.active_requests() == 0 {
             let since = *idle_since.get_or_insert(node.now());
-            if node.now().saturating_sub(since) >= QUIET {
+            if node.now().saturating_sub(since) >= IDLE_PERIOD {
                 return true;
             }
         } else {
             idle_since = None;
         }
-        tokio::time::sleep(CHECK_EVERY).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     false
 }
 
 /// Runs a planned stop to its end.
 ///
-/// Peers and platform are told; this instance is named to nobody any more, but serves whoever still comes until every answer
-/// of `/v1/entries` that names it has run out; then streams may end, and those that do not are moved.
+/// First, the platform and the peers are notified, so that this instance is no longer listed as an
+/// entry. It still serves new requests until every response of `/v1/entries` that lists it has
+/// expired. Then streams get a limited time to finish; those that do not are moved to other
+/// entries.
 pub(crate) async fn run(node: Arc<Node>) {
-    if !node.work.enter(Phase::Leaving) {
+    if !node.drain_state.advance_to(Phase::Leaving) {
         return;
     }
-    info!("planned stop begins", kv: { active = node.work.active() });
+    info!("planned stop started", kv: { active = node.drain_state.active_requests() });
     node.release_lease().await;
-    list_round(&node).await;
-    beat_round(&node);
-    let answers_run_out = ms(node.settings.times.entries_valid_ms) + PEER_HEARTBEAT_TIMEOUT;
-    tokio::time::sleep(answers_run_out).await;
+    sync_instance_list(&node).await;
+    send_heartbeats(&node);
+    let entries_valid_for = ms(node.settings.times.entries_valid_ms) + PEER_HEARTBEAT_TIMEOUT;
+    tokio::time::sleep(entries_valid_for).await;
     if !wait_idle(&node, ms(node.settings.times.drain_streams_ms)).await {
-        node.work.enter(Phase::Moving);
-        info!("streams are moved", kv: { active = node.work.active() });
-        // Whole answers cannot be moved; they end by themselves.
+        node.drain_state.advance_to(Phase::Moving);
+        info!("planned stop: moving open streams to other entries", kv: {
+            active = node.drain_state.active_requests(),
+        });
+        // Responses that are not streamed cannot be moved, so wait until they are complete.
         while !wait_idle(&node, Duration::from_mins(1)).await {
-            info!("planned stop waits", kv: { active = node.work.active() });
+            info!("planned stop: waiting for requests in flight", kv: {
+                active = node.drain_state.active_requests(),
+            });
         }
     }
-    node.work.enter(Phase::Stopped);
+    node.drain_state.advance_to(Phase::Stopped);
     info!("planned stop complete");
 }
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -9,12 +9,12 @@
 use spdlog::{info, warn};
 use tokio::sync::watch;
 
-use super::answer::{AnswerEvent, AnswerSink};
 use super::endpoints::is_departed;
 use super::node::{Node, Phase};
 use super::place::{Place, PlaceWanted};
-use super::request::{CallerRequest, GenerationAsked};
+use super::request::{CallerRequest, GenerationParams};
 use super::reservations::Reservation;
+use super::response::{ResponseEvent, ResponseSink};
 use crate::endpoint::protocol::{EngineEvent, FinishReason, GenerationRequest, Started};
 use crate::endpoint::{Endpoint, EngineStream, ResumeError, ResumeFrom};
 use crate::error::{Error, ErrorKind, Result};
@@ -45,7 +45,7 @@
 /// A generation on its way to a caller.
 struct Run<'a> {
     node: &'a Arc<Node>,
-    sink: &'a AnswerSink,
+    sink: &'a ResponseSink,
     account: &'a str,
     /// The model, for the placement's demand; empty for a generation taken up from elsewhere.
     model: &'a str,
@@ -82,8 +82,8 @@
 pub(crate) async fn run(
     node: &Arc<Node>,
     request: &CallerRequest,
-    asked: &GenerationAsked,
-    sink: &AnswerSink,
+    asked: &GenerationParams,
+    sink: &ResponseSink,
 ) {
     if let Err(error) = run_to_end(node, request, asked, sink).await {
         metrics::counter!("larkwick_errors_total", "kind" => format!("{:?}", error.kind))
@@ -95,8 +95,8 @@
 async fn run_to_end(
     node: &Arc<Node>,
     request: &CallerRequest,
-    asked: &GenerationAsked,
-    sink: &AnswerSink,
+    asked: &GenerationParams,
+    sink: &ResponseSink,
 ) -> Result<()> {
     let catalog = node.catalog();
     let account = catalog.account_for_key(&request.bearer_key)?;
@@ -109,7 +109,7 @@
         streamed: asked.streamed,
         cursor: TokenCursor::starting_at(0),
         delivered: Vec::new(),
-        phase: node.work.watch_phase(),
+        phase: node.drain_state.subscribe_phase(),
     };
     let deadline = request.options.deadline;
     let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
@@ -127,7 +127,7 @@
         excluded: HashSet::new(),
         failures: FailedAttempts::default(),
     };
-    node.count_first_try(&account.name);
+    node.record_first_attempt(&account.name);
     loop {
         let (source, stream) = run.start(&mut start).await?;
         let endpoint = source.generation.endpoint.clone();
@@ -139,7 +139,7 @@
                 let may_run_again =
                     request.options.repeatable && (nothing_delivered || model.reproducible);
                 warn!("generation lost", kv: { request_id: = request.request_id, why = why.as_str() });
-                if !may_run_again || !node.take_retry(&account.name) {
+                if !may_run_again || !node.try_spend_retry(&account.name) {
                     return Err(lost(&why));
                 }
                 start.failures.record(Failed::MayHaveRun(lost(&why)));
@@ -166,7 +166,7 @@
 /// What is needed to start a generation, and what became of earlier starts.
 struct Start<'a> {
     request: &'a CallerRequest,
-    asked: &'a GenerationAsked,
+    asked: &'a GenerationParams,
     account: &'a ClientAccount,
     model: &'a Model,
     seed: u64,
@@ -198,7 +198,7 @@
     async fn start(&mut self, start: &mut Start<'_>) -> Result<(Source, EngineStream)> {
         let repeatable = start.request.options.repeatable;
         for tries in 0..STARTS_MAX {
-            if tries > 0 && !self.node.take_retry(&start.account.name) {
+            if tries > 0 && !self.node.try_spend_retry(&start.account.name) {
                 break;
             }
             let wanted = PlaceWanted {
@@ -212,7 +212,7 @@
             };
             let place = tokio::select! {
                 place = self.node.find_place(&wanted) => place,
-                () = self.sink.abandoned() => return Err(caller_gone()),
+                () = self.sink.closed() => return Err(caller_gone()),
             };
             let place = place.map_err(|error| start.failures.error(error))?;
             let endpoint = place.endpoint.name.clone();
@@ -240,7 +240,7 @@
         if is_departed(self.node, &name, place.incarnation) {
             return Err(attempt.not_connected(&name));
         }
-        let Some(client) = self.node.endpoints.client(&place.endpoint) else {
+        let Some(client) = self.node.endpoints.client_for(&place.endpoint) else {
             return Err(attempt.not_connected(&name));
         };
         let request = start.generation_request(&attempt, &place);
@@ -319,7 +319,7 @@
             let may_move = self.streamed && self.cursor.next_index() > 0;
             let event = tokio::select! {
                 event = tokio::time::timeout(stall, stream.next()) => event,
-                () = self.sink.abandoned() => return Read::End(Followed::Abandoned),
+                () = self.sink.closed() => return Read::End(Followed::Abandoned),
                 () = moving(&mut self.phase), if may_move => {
                     self.send_moved().await;
                     return Read::End(Followed::Abandoned);
@@ -383,7 +383,7 @@
             generation: source.generation.clone(),
             index,
         };
-        let event = AnswerEvent::Token {
+        let event = ResponseEvent::Token {
             id: id.to_string(),
             text,
         };
@@ -402,7 +402,7 @@
         if !self.model.is_empty() {
             self.node.lease.count_demand(self.model, tokens);
         }
-        let event = AnswerEvent::Done {
+        let event = ResponseEvent::Done {
             reason,
             prompt_tokens: source.prompt_tokens,
             tokens,
@@ -412,9 +412,9 @@
     }
 
     async fn send_moved(&self) {
-        let entries = self.node.other_entries();
+        let entries = self.node.other_entry_addresses();
         metrics::counter!("larkwick_streams_moved_total").increment(1);
-        self.sink.send(AnswerEvent::Moved { entries }).await;
+        self.sink.send(ResponseEvent::Moved { entries }).await;
     }
 
     /// Opens a new connection to the same generation.
@@ -481,7 +481,7 @@
     let generation = id.generation;
     let catalog = node.catalog();
     let object = catalog.endpoint(&generation.endpoint);
-    let Some(client) = object.and_then(|object| node.endpoints.client(object)) else {
+    let Some(client) = object.and_then(|object| node.endpoints.client_for(object)) else {
         return;
     };
     client
@@ -494,7 +494,7 @@
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
-    sink: &AnswerSink,
+    sink: &ResponseSink,
 ) {
     if let Err(error) = resume_to_end(node, request, last_event_id, sink).await {
         sink.send(error.into()).await;
@@ -505,7 +505,7 @@
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
-    sink: &AnswerSink,
+    sink: &ResponseSink,
 ) -> Result<()> {
     let id: EventId = last_event_id
         .parse()
@@ -517,7 +517,7 @@
         .ok_or_else(|| lost("its endpoint is not published any more"))?;
     let client = node
         .endpoints
-        .client(object)
+        .client_for(object)
         .ok_or_else(|| lost("its endpoint's plug-in is not known here"))?;
     let next_index = id.index.saturating_add(1);
     let mut run = Run {
@@ -528,7 +528,7 @@
         streamed: true,
         cursor: TokenCursor::starting_at(next_index),
         delivered: Vec::new(),
-        phase: node.work.watch_phase(),
+        phase: node.drain_state.subscribe_phase(),
     };
     let mut source = Source {
         client,
--- a/src/daemon/member_loop.rs
+++ b/src/daemon/member_loop.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances, the platform's list, and departures passed on.
+//! Sends heartbeats to peers, reads the instance list of the platform and propagates departures.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,13 +17,14 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-const BEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Departures are passed on for this long.
-const DEPARTURES_PASSED_ON: Duration = Duration::from_secs(30);
+/// Timeout of one heartbeat to a peer, including its reply.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Heartbeats include departures recorded within this period.
+const DEPARTURE_GOSSIP_PERIOD: Duration = Duration::from_secs(30);
 
-/// What this instance tells a peer, by name.
-pub(crate) fn own_beat(node: &Node, to: &str) -> wire::Beat {
-    let since = node.now().saturating_sub(DEPARTURES_PASSED_ON);
+/// Builds the heartbeat for the peer named `to`.
+pub(crate) fn build_heartbeat(node: &Node, to: &str) -> wire::Beat {
+    let since = node.now().saturating_sub(DEPARTURE_GOSSIP_PERIOD);
     let (departures, gossip) = {
         let mut members = node.members.lock();
         let recent = members.departures.recorded_since(since);
@@ -31,30 +32,36 @@
         let gossip = members.gossip_for(&node.incarnation, &node.settings.hall, to, node.now());
         (departures, gossip)
     };
-    let beat = wire::Beat {
+    let heartbeat = wire::Beat {
         suspects: Vec::new(),
         leaving_endpoints: Vec::new(),
         limits: Vec::new(),
-        status: Some((&node.status()).into()),
+        status: Some((&node.own_status()).into()),
         departures,
         gossip: Some(gossip.into()),
         evacuated: None,
     };
-    let bytes = u64::try_from(beat.encoded_len()).unwrap_or(u64::MAX);
+    let bytes = u64::try_from(heartbeat.encoded_len()).unwrap_or(u64::MAX);
     metrics::counter!("larkwick_beats_total").increment(1);
     metrics::counter!("larkwick_beat_bytes_total").increment(bytes);
-    beat
+    heartbeat
 }
 
-/// Takes what a peer tells; gives its name.
-pub(crate) fn take_beat(node: &Arc<Node>, beat: wire::Beat) -> Result<String, BadField> {
-    let status: PeerStatus = beat.status.ok_or(BadField("status"))?.try_into()?;
+/// Applies a heartbeat from a peer and returns the name of that peer.
+///
+/// If the peer has newer configuration, a task is started that fetches it. Otherwise the heartbeat
+/// confirms the configuration of this instance.
+pub(crate) fn handle_heartbeat(
+    node: &Arc<Node>,
+    heartbeat: wire::Beat,
+) -> Result<String, BadField> {
+    let status: PeerStatus = heartbeat.status.ok_or(BadField("status"))?.try_into()?;
     let now = node.now();
     let mut departed = Vec::new();
-    for incarnation in beat.departures {
+    for incarnation in heartbeat.departures {
         departed.push(Incarnation::try_from(incarnation)?);
     }
-    let gossip: Gossip = beat.gossip.unwrap_or_default().into();
+    let gossip: Gossip = heartbeat.gossip.unwrap_or_default().into();
     let name = status.incarnation.name.clone();
     let peer_next_offset = status.config_next_offset;
     let peer_address = status.peer_address.clone();
@@ -76,12 +83,14 @@
             }
         });
     } else {
-        config_loop::confirmed_by_peer(node);
+        config_loop::record_peer_confirmation(node);
     }
     Ok(name)
 }
 
-/// Records that an endpoint or instance is leaving; peers learn it with the next heartbeats.
+/// Records that an endpoint or instance is leaving.
+///
+/// Peers receive the departure with the next heartbeats.
 pub(crate) fn record_departure(node: &Node, incarnation: &Incarnation) {
     let now = node.now();
     if node.members.lock().departures.record(incarnation, now) {
@@ -90,48 +99,58 @@
     }
 }
 
-async fn beat(node: Arc<Node>, to: String, address: String) {
+/// Sends a heartbeat to the peer `to` and applies the one in its reply.
+async fn send_heartbeat(node: Arc<Node>, to: String, address: String) {
     let Ok(mut client) = node.peers.to(&address) else {
         return;
     };
-    if let Ok(reply) = within(BEAT_TIMEOUT, client.heartbeat(own_beat(&node, &to))).await
-        && let Err(bad) = take_beat(&node, reply)
+    if let Ok(reply) = within(
+        HEARTBEAT_TIMEOUT,
+        client.heartbeat(build_heartbeat(&node, &to)),
+    )
+    .await
+        && let Err(error) = handle_heartbeat(&node, reply)
     {
-        warn!("heartbeat not read: {}", bad);
+        warn!("invalid heartbeat in reply from peer: {}", error);
     }
 }
 
-/// Sends heartbeats now.
-pub(crate) fn beat_round(node: &Arc<Node>) {
+/// Sends one round of heartbeats and drops the clients of peers that are no longer known.
+pub(crate) fn send_heartbeats(node: &Arc<Node>) {
     let mut members = node.members.lock();
     for name in members.heartbeat_targets(&node.incarnation, &node.settings.hall, node.now()) {
         if let Some(peer) = members.get(&name) {
             let address = peer.status.peer_address.clone();
-            tokio::spawn(beat(node.clone(), name, address));
+            tokio::spawn(send_heartbeat(node.clone(), name, address));
         }
     }
-    let known: BTreeSet<&str> = members
+    let known_addresses: BTreeSet<&str> = members
         .all()
         .map(|peer| peer.status.peer_address.as_str())
         .collect();
-    node.peers.retain(|address| known.contains(address));
+    node.peers
+        .retain(|address| known_addresses.contains(address));
 }
 
-/// Sends heartbeats for the life of the node.
-pub(crate) async fn run_beats(node: Arc<Node>) {
-    let every = ms(node.settings.times.heartbeat_ms);
+/// Sends heartbeats periodically until the node stops.
+pub(crate) async fn run_heartbeats(node: Arc<Node>) {
+    let interval = ms(node.settings.times.heartbeat_ms);
     loop {
-        beat_round(&node);
-        tokio::time::sleep(every).await;
+        send_heartbeats(&node);
+        tokio::time::sleep(interval).await;
     }
 }
 
-fn take_list(node: &Node, list: Vec<ListedInstance>) {
+/// Applies the platform's list of instances and endpoints.
+///
+/// Entries without a status are endpoints.
+fn apply_instance_list(node: &Node, list: Vec<ListedInstance>) {
     for listed in list.iter().filter(|listed| listed.leaving) {
         record_departure(node, &listed.incarnation);
     }
     for listed in list.iter().filter(|listed| listed.status.is_none()) {
-        node.endpoints.set_listed(&listed.incarnation);
+        node.endpoints
+            .record_listed_incarnation(&listed.incarnation);
     }
     let instances: Vec<ListedPeer> = list
         .into_iter()
@@ -144,9 +163,9 @@
     members.departures.expire(now);
 }
 
-/// Announces this instance and reads the platform's list, once.
-pub(crate) async fn list_round(node: &Node) {
-    let status = node.status();
+/// Announces this instance to the platform, then reads and applies the platform's list.
+pub(crate) async fn sync_instance_list(node: &Node) {
+    let status = node.own_status();
     let own = ListedInstance {
         incarnation: node.incarnation.clone(),
         leaving: status.leaving,
@@ -154,28 +173,28 @@
     };
     if let Err(error) = node.platform.instances.announce(&own).await {
         metrics::counter!("larkwick_list_failures_total").increment(1);
-        spdlog::debug!("not announced: {}", error);
+        spdlog::debug!("cannot announce this instance to the platform: {}", error);
         return;
     }
     if let Ok(list) = node.platform.instances.list().await {
-        take_list(node, list);
+        apply_instance_list(node, list);
     }
 }
 
-/// Reads the list for the life of the node.
-pub(crate) async fn run_list(node: Arc<Node>) {
-    let every = ms(node.settings.times.list_poll_ms);
+/// Announces this instance and reads the list periodically until the node stops.
+pub(crate) async fn run_instance_list(node: Arc<Node>) {
+    let interval = ms(node.settings.times.list_poll_ms);
     loop {
-        list_round(&node).await;
-        tokio::time::sleep(every).await;
+        sync_instance_list(&node).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Advances the ticket epoch for the life of the node.
-pub(crate) async fn run_epochs(node: Arc<Node>) {
-    let every = ms(node.settings.times.ticket_epoch_ms);
+/// Advances the ticket epoch periodically until the node stops.
+pub(crate) async fn run_ticket_epochs(node: Arc<Node>) {
+    let interval = ms(node.settings.times.ticket_epoch_ms);
     loop {
-        tokio::time::sleep(every).await;
-        node.once.advance_epoch();
+        tokio::time::sleep(interval).await;
+        node.idempotency.advance_epoch();
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,18 +1,19 @@
-//! The daemon: loops that feed events to the kernel and carry out its decisions.
+//! The daemon: background tasks and request handlers that feed events to the kernel and carry out
+//! its decisions.
 
-pub(crate) mod answer;
 pub mod app;
 pub(crate) mod config_loop;
+pub(crate) mod dispatch;
 pub(crate) mod drain;
 pub(crate) mod endpoints;
 pub(crate) mod generation;
+pub(crate) mod idempotency;
 pub(crate) mod member_loop;
 pub(crate) mod node;
-pub(crate) mod once;
 pub(crate) mod owner;
 pub(crate) mod place;
 pub(crate) mod placement_loop;
 pub(crate) mod request;
 pub(crate) mod reservations;
-pub(crate) mod serve;
+pub(crate) mod response;
 pub(crate) mod service_call;
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,4 +1,6 @@
-//! The state of one instance, in shards each under its own lock. No lock is held across an await or while another is taken.
+//! The shared state of one instance, split into parts that each have their own lock.
+//!
+//! No lock is held across an await point or while another lock is acquired.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,9 +13,9 @@
 use tokio::sync::watch;
 use uuid::Uuid;
 
-use super::config_loop::ConfigShard;
+use super::config_loop::SharedConfig;
 use super::endpoints::EndpointTable;
-use super::once::OnceMemory;
+use super::idempotency::IdempotencyCache;
 use super::owner::Groups;
 use super::placement_loop::LeaseShard;
 use super::reservations::Reservations;
@@ -25,113 +27,122 @@
 use crate::peer::client::PeerClients;
 use crate::settings::{Settings, ms};
 
-/// Where the instance listens.
+/// The addresses that an instance listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Addresses {
-    /// For callers.
+    /// Address of the API for callers.
     pub caller: SocketAddr,
-    /// For operators.
+    /// Address of the API for operators.
     pub operator: SocketAddr,
-    /// For peers.
+    /// Address of the gRPC server for peers.
     pub peer: SocketAddr,
 }
 
-/// How far a planned stop has come.
+/// The phase of a planned stop.
+///
+/// The variants are in order: a later phase compares greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Normal.
+    /// Normal operation; no planned stop has begun.
     Serving,
-    /// Not named to callers any more; whoever comes is served.
+    /// No longer listed as an entry for callers; requests that still arrive are served.
     Leaving,
-    /// Streams still open are moved to other entries.
+    /// Streams that are still open are moved to other entries.
     Moving,
-    /// Nothing is in flight.
+    /// The planned stop is complete: no request is in flight.
     Stopped,
 }
 
-/// Requests in flight and the phase of a planned stop.
-pub(crate) struct Work {
-    active: AtomicUsize,
+/// The number of requests in flight and the phase of a planned stop.
+pub(crate) struct DrainState {
+    active_requests: AtomicUsize,
     phase: watch::Sender<Phase>,
 }
 
-/// Counts a request for as long as it lives.
-pub(crate) struct ActiveRequest {
+/// Counts a request as in flight until it is dropped.
+pub(crate) struct ActiveRequestGuard {
     node: Arc<Node>,
 }
 
-impl Drop for ActiveRequest {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        let left = self.node.work.active.fetch_sub(1, Ordering::Relaxed) - 1;
-        gauge_active(left);
+        let remaining = self
+            .node
+            .drain_state
+            .active_requests
+            .fetch_sub(1, Ordering::Relaxed)
+            - 1;
+        set_active_requests_gauge(remaining);
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a count of requests")]
-fn gauge_active(active: usize) {
+fn set_active_requests_gauge(active: usize) {
     metrics::gauge!("larkwick_requests_active").set(active as f64);
 }
 
-impl Work {
+impl DrainState {
     fn new() -> Self {
         Self {
-            active: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
             phase: watch::Sender::new(Phase::Serving),
         }
     }
 
-    /// Requests in flight.
-    pub(crate) fn active(&self) -> usize {
-        self.active.load(Ordering::Relaxed)
+    /// Returns the number of requests in flight.
+    pub(crate) fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::Relaxed)
     }
 
-    /// The phase.
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Follows the phase.
-    pub(crate) fn watch_phase(&self) -> watch::Receiver<Phase> {
+    /// Returns a receiver that observes phase changes.
+    pub(crate) fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Moves on to a phase; never back.
-    pub(crate) fn enter(&self, phase: Phase) -> bool {
+    /// Advances to `phase` if it comes after the current one, and returns whether it did.
+    ///
+    /// The phase never goes back.
+    pub(crate) fn advance_to(&self, phase: Phase) -> bool {
         self.phase.send_if_modified(|current| {
-            let later = phase > *current;
-            if later {
+            let is_later = phase > *current;
+            if is_later {
                 *current = phase;
             }
-            later
+            is_later
         })
     }
 }
 
-/// One instance.
+/// The state that the tasks of one instance share.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) incarnation: Incarnation,
     pub(crate) platform: Platform,
     addresses: OnceLock<Addresses>,
-    pub(crate) config: ConfigShard,
+    pub(crate) config: SharedConfig,
     catalog: RwLock<Arc<Catalog>>,
     pub(crate) members: Mutex<Members>,
     pub(crate) endpoints: EndpointTable,
-    pub(crate) once: OnceMemory,
+    pub(crate) idempotency: IdempotencyCache,
     pub(crate) groups: Groups,
     pub(crate) reservations: Reservations,
-    retries: Mutex<HashMap<String, RetryBudget>>,
-    /// When a group last had no endpoint for a request.
-    pub(crate) empty_groups: Mutex<HashMap<String, Duration>>,
-    pub(crate) work: Work,
+    /// Retry budgets by client account.
+    retry_budgets: Mutex<HashMap<String, RetryBudget>>,
+    /// When each group last had no endpoint for a request, by group name.
+    pub(crate) last_empty_at: Mutex<HashMap<String, Duration>>,
+    pub(crate) drain_state: DrainState,
     pub(crate) peers: PeerClients,
     pub(crate) lease: LeaseShard,
 }
 
 impl Node {
-    /// A node that has heard of nothing yet.
+    /// Creates a node with a new incarnation that knows no configuration, peers or endpoints yet.
     pub(crate) fn new(settings: Settings, platform: Platform, clock: Arc<dyn Clock>) -> Self {
         let incarnation = Incarnation {
             name: settings.instance.clone(),
@@ -139,7 +150,7 @@
         };
         let limits = &settings.limits;
         Self {
-            once: OnceMemory::new(
+            idempotency: IdempotencyCache::new(
                 &settings.instance,
                 incarnation.id,
                 limits.once_requests,
@@ -147,14 +158,14 @@
             ),
             lease: LeaseShard::new(&settings, incarnation.id),
             groups: Groups::default(),
-            config: ConfigShard::default(),
+            config: SharedConfig::default(),
             catalog: RwLock::default(),
             members: Mutex::default(),
             endpoints: EndpointTable::default(),
             reservations: Reservations::default(),
-            retries: Mutex::default(),
-            empty_groups: Mutex::default(),
-            work: Work::new(),
+            retry_budgets: Mutex::default(),
+            last_empty_at: Mutex::default(),
+            drain_state: DrainState::new(),
             peers: PeerClients::default(),
             addresses: OnceLock::new(),
             clock,
@@ -164,18 +175,19 @@
         }
     }
 
-    /// Time on this instance's clock.
+    /// Returns the current time of this instance's clock.
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Sets the addresses, once all listeners are bound.
+    /// Stores the addresses after all listeners are bound.
     pub(crate) fn set_addresses(&self, addresses: Addresses) {
-        // A second call would be a fault of the wiring; the first one counts.
+        // A second call would be a start-up bug; the first addresses are kept.
         let _ = self.addresses.set(addresses);
     }
 
-    /// Where this instance listens; unspecified addresses until all listeners are bound.
+    /// Returns the addresses that this instance listens on, or unspecified addresses (`0.0.0.0:0`)
+    /// until all listeners are bound.
     pub(crate) fn addresses(&self) -> Addresses {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         self.addresses.get().copied().unwrap_or(Addresses {
@@ -185,18 +197,18 @@
         })
     }
 
-    /// The objects in force.
+    /// Returns the configuration objects in force.
     pub(crate) fn catalog(&self) -> Arc<Catalog> {
         self.catalog.read().clone()
     }
 
-    /// Replaces the objects in force.
+    /// Replaces the configuration objects in force.
     pub(crate) fn set_catalog(&self, catalog: Catalog) {
         *self.catalog.write() = Arc::new(catalog);
     }
 
-    /// What this instance says about itself.
-    pub(crate) fn status(&self) -> PeerStatus {
+    /// Returns the status that this instance reports to its peers and to the platform.
+    pub(crate) fn own_status(&self) -> PeerStatus {
         let addresses = self.addresses();
         PeerStatus {
             incarnation: self.incarnation.clone(),
@@ -204,45 +216,50 @@
             caller_address: addresses.caller.to_string(),
             peer_address: addresses.peer.to_string(),
             operator_address: addresses.operator.to_string(),
-            leaving: self.work.phase() > Phase::Serving,
-            ticket_epoch: self.once.epoch(),
+            leaving: self.drain_state.phase() > Phase::Serving,
+            ticket_epoch: self.idempotency.ticket_epoch(),
             config_next_offset: self.config.next_offset(),
         }
     }
 
-    /// Counts a request as in flight.
-    pub(crate) fn begin(self: &Arc<Self>) -> ActiveRequest {
-        let active = self.work.active.fetch_add(1, Ordering::Relaxed) + 1;
-        gauge_active(active);
-        ActiveRequest { node: self.clone() }
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> ActiveRequestGuard {
+        let active = self
+            .drain_state
+            .active_requests
+            .fetch_add(1, Ordering::Relaxed)
+            + 1;
+        set_active_requests_gauge(active);
+        ActiveRequestGuard { node: self.clone() }
     }
 
-    /// Counts a first try of an account.
-    pub(crate) fn count_first_try(&self, account: &str) {
-        let mut retries = self.retries.lock();
-        retries.entry(account.to_owned()).or_default().first_try();
+    /// Records the first attempt of a request against the retry budget of `account`.
+    pub(crate) fn record_first_attempt(&self, account: &str) {
+        let mut budgets = self.retry_budgets.lock();
+        budgets.entry(account.to_owned()).or_default().first_try();
     }
 
-    /// Takes a retry from an account's budget.
-    pub(crate) fn take_retry(&self, account: &str) -> bool {
-        let mut retries = self.retries.lock();
-        let taken = retries.entry(account.to_owned()).or_default().take_retry();
-        metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
-        taken
+    /// Spends one retry from the budget of `account`; returns `false` if the budget is exhausted.
+    pub(crate) fn try_spend_retry(&self, account: &str) -> bool {
+        let mut budgets = self.retry_budgets.lock();
+        let allowed = budgets.entry(account.to_owned()).or_default().take_retry();
+        metrics::counter!("larkwick_retries_total", "allowed" => allowed.to_string()).increment(1);
+        allowed
     }
 
-    /// Whether this instance may not know the configuration in force, so that it takes no new work.
+    /// Returns whether this instance refuses new work because its configuration may be out of date.
     ///
-    /// A site of three instances or fewer always serves on: its last instance could not tell a dead site from a cut one.
-    pub(crate) fn stands_down(&self) -> bool {
-        const SERVES_ON_PEERS: usize = 3;
+    /// Instances of a site with at most three instances never stand down: the last one left could
+    /// not tell whether the other instances are dead or only unreachable.
+    pub(crate) fn is_standing_down(&self) -> bool {
+        const STAND_DOWN_MIN_PEERS: usize = 3;
         let now = self.now();
-        let silent = now.saturating_sub(self.config.last_contact());
-        if silent < ms(self.settings.times.stand_down_ms) {
+        let since_contact = now.saturating_sub(self.config.last_contact());
+        if since_contact < ms(self.settings.times.stand_down_ms) {
             return false;
         }
         let members = self.members.lock();
-        members.all().count() >= SERVES_ON_PEERS
+        members.all().count() >= STAND_DOWN_MIN_PEERS
             && members.is_isolated(&self.incarnation.name, &self.settings.hall, now)
     }
 }
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -138,7 +138,7 @@
         let hall = hall_of(group);
         let now = self.now();
         let members = self.members.lock();
-        let serving = self.work.phase() == Phase::Serving;
+        let serving = self.drain_state.phase() == Phase::Serving;
         let own = serving.then_some((self.incarnation.name.as_str(), self.settings.hall.as_str()));
         let live = members.live(&self.settings.hall, now).map(|peer| {
             (
@@ -250,7 +250,7 @@
 
     /// Whether an endpoint reports and is not leaving.
     pub(crate) fn takes_work(&self, endpoint: &str) -> bool {
-        let reports = self.endpoints.reports(endpoint, self.now());
+        let reports = self.endpoints.has_recent_report(endpoint, self.now());
         reports && !is_departed(self, endpoint, self.endpoints.incarnation(endpoint))
     }
 
@@ -318,7 +318,7 @@
         let wanted = catalog
             .model(&request.model)
             .map_or("", |model| model.version.as_str());
-        let held = |name: &String| self.endpoints.held_version(name, &request.model, wanted);
+        let held = |name: &String| self.endpoints.loaded_version(name, &request.model, wanted);
         let holders: Vec<(String, bool)> = request
             .candidates
             .iter()
@@ -341,7 +341,7 @@
             .map_or("", |model| model.version.as_str());
         let version = self
             .endpoints
-            .held_version(&grant.endpoint, &request.model, wanted)
+            .loaded_version(&grant.endpoint, &request.model, wanted)
             .unwrap_or_else(|| wanted.to_owned());
         PlacedOn {
             incarnation: self.endpoints.incarnation(&grant.endpoint),
--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -110,13 +110,16 @@
                     let name = &catalog.endpoints[one.index].name;
                     let model = wanted.model;
                     self.endpoints
-                        .held_version(name, &model.name, &model.version)
+                        .loaded_version(name, &model.name, &model.version)
                         .is_some()
                 })
                 .collect();
             let reports: Vec<_> = here
                 .iter()
-                .map(|one| self.endpoints.report(&catalog.endpoints[one.index].name))
+                .map(|one| {
+                    self.endpoints
+                        .last_report(&catalog.endpoints[one.index].name)
+                })
                 .collect();
             let candidates: Vec<Candidate<'_>> = here
                 .iter()
@@ -156,7 +159,7 @@
         let model = wanted.model;
         let held = self
             .endpoints
-            .held_version(&endpoint.name, &model.name, &model.version);
+            .loaded_version(&endpoint.name, &model.name, &model.version);
         Place {
             incarnation: self.endpoints.incarnation(&endpoint.name),
             version: held.unwrap_or_else(|| model.version.clone()),
@@ -183,13 +186,13 @@
     }
 
     fn was_empty(&self, group: &str) -> bool {
-        let noted = self.empty_groups.lock().get(group).copied();
+        let noted = self.last_empty_at.lock().get(group).copied();
         noted.is_some_and(|at| self.now().saturating_sub(at) < EMPTY_FOR)
     }
 
     fn note_empty(&self, group: &str) {
         let now = self.now();
-        self.empty_groups.lock().insert(group.to_owned(), now);
+        self.last_empty_at.lock().insert(group.to_owned(), now);
     }
 
     async fn place_by_owner(
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -9,7 +9,7 @@
 use spdlog::{info, warn};
 use uuid::Uuid;
 
-use super::endpoints::{HALL_EVERY, is_departed};
+use super::endpoints::{HALL_POLL_INTERVAL_ROUNDS, is_departed};
 use super::node::{Node, Phase};
 use crate::endpoint::protocol::{Order, OrderStatus};
 use crate::endpoint::{Endpoint, OrderError};
@@ -156,7 +156,7 @@
 }
 
 async fn step(node: &Arc<Node>) {
-    if node.work.phase() > Phase::Serving {
+    if node.drain_state.phase() > Phase::Serving {
         return;
     }
     let held = node.config.lease(&node.settings.hall);
@@ -185,7 +185,7 @@
     let catalog = node.catalog();
     let hall = &node.settings.hall;
     let now = node.now();
-    let within = HALL_ROUNDS * HALL_EVERY * ms(node.settings.times.load_poll_ms);
+    let within = HALL_ROUNDS * HALL_POLL_INTERVAL_ROUNDS * ms(node.settings.times.load_poll_ms);
     // A new holder has read the whole hall before it moves anything.
     if now.saturating_sub(proof.since) < within {
         return;
@@ -195,7 +195,9 @@
         .iter()
         .filter(|endpoint| endpoint.hall == *hall)
         .filter_map(|endpoint| {
-            let report = node.endpoints.recent_report(&endpoint.name, now, within)?;
+            let report = node
+                .endpoints
+                .report_younger_than(&endpoint.name, now, within)?;
             let departed = is_departed(node, &endpoint.name, Some(report.incarnation));
             (!departed).then(|| (endpoint.name.clone(), report.models))
         })
@@ -275,7 +277,7 @@
 fn order_client(node: &Node, catalog: &Catalog, endpoint: &str) -> Option<Arc<dyn Endpoint>> {
     let object = catalog.endpoint(endpoint)?;
     matches!(object.role, EndpointRole::Engine { .. })
-        .then(|| node.endpoints.client(object))
+        .then(|| node.endpoints.client_for(object))
         .flatten()
 }
 
--- a/src/daemon/request.rs
+++ b/src/daemon/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request in typed form, as it also travels to a peer.
+//! Typed form of a caller's request, in which it is also relayed to peers.
 
 use std::time::Duration;
 
@@ -7,66 +7,66 @@
 
 use crate::kernel::ticket::Ticket;
 
-/// A caller's request.
+/// A caller's request, as the handling entry parsed it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CallerRequest {
-    /// Chosen by the entry that took it.
+    /// Request id, assigned by the entry that received the request.
     pub request_id: Uuid,
-    /// The bearer key.
+    /// Bearer key that identifies the client account.
     pub bearer_key: String,
-    /// What the caller said besides the body.
+    /// Options from the headers.
     pub options: RequestOptions,
-    /// What to do.
+    /// The requested work.
     pub work: RequestedWork,
 }
 
-/// Options from the headers.
+/// Options that a caller sets in the headers of a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RequestOptions {
-    /// Whether larkwick may run it again after a failure that may have run it.
+    /// Whether larkwick may retry the request after a failed attempt that may have run.
     pub repeatable: bool,
     /// Ticket from `/v1/entries`.
     pub ticket: Option<Ticket>,
-    /// The caller's name for the request.
+    /// Idempotency key that the caller assigned to the request.
     pub idempotency_key: Option<String>,
-    /// Time from arrival until the answer is worthless.
+    /// Time from arrival after which the caller has no more use for the response.
     pub deadline: Option<Duration>,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum RequestedWork {
     /// A new generation.
-    Generation(GenerationAsked),
-    /// The rest of a generation after an event.
+    Generation(GenerationParams),
+    /// Resumes a generation after an event.
     Resume {
-        /// The last event the caller has.
+        /// Id of the last event that the caller received.
         last_event_id: String,
     },
     /// A call of a plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Path after the service's name.
+        /// Path that follows the service's name in the URL.
         path: String,
-        /// Content type.
+        /// Content type of the body.
         content_type: String,
-        /// Body.
+        /// Request body.
         body: Vec<u8>,
     },
 }
 
-/// A generation as a caller asks for it.
+/// The parameters of a generation that a caller requests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct GenerationAsked {
-    /// Model.
+pub struct GenerationParams {
+    /// Name of the model.
     pub model: String,
-    /// Prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Longest output; the model's maximum where absent.
+    /// Maximum output length in tokens; defaults to the model's maximum.
     pub max_tokens: Option<u32>,
-    /// Seed; random where absent.
+    /// Sampling seed; defaults to a random one.
     pub seed: Option<u64>,
-    /// Whether the answer is streamed, and so can be moved to another entry.
+    /// Whether the response is streamed, which allows it to be moved to another entry.
     pub streamed: bool,
 }
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -1,14 +1,14 @@
-//! A call of a plain service.
+//! Calls of plain services, with retries at other endpoints.
 
 use std::sync::Arc;
 
 use rand::seq::SliceRandom;
 use spdlog::info;
 
-use super::answer::{AnswerEvent, AnswerSink};
 use super::endpoints::is_departed;
 use super::node::Node;
 use super::request::{CallerRequest, RequestedWork};
+use super::response::{ResponseEvent, ResponseSink};
 use crate::endpoint::{ServiceAnswer, ServiceCall};
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::attempt::{Failed, FailedAttempts, Unsent};
@@ -16,16 +16,20 @@
 use crate::kernel::rules::Workload;
 use crate::settings::ms;
 
-/// Runs the call and writes its answer.
-pub(crate) async fn run(node: &Arc<Node>, request: &CallerRequest, sink: &AnswerSink) {
-    let event = match call(node, request).await {
-        Ok(answer) => AnswerEvent::Service(answer),
+/// Runs a service call and writes its response to `sink`.
+pub(crate) async fn run(node: &Arc<Node>, request: &CallerRequest, sink: &ResponseSink) {
+    let event = match call_service(node, request).await {
+        Ok(response) => ResponseEvent::Service(response),
         Err(error) => error.into(),
     };
     sink.send(event).await;
 }
 
-async fn call(node: &Arc<Node>, request: &CallerRequest) -> Result<ServiceAnswer> {
+/// Tries the endpoints of the service, those of this hall first, until one answers.
+///
+/// A failed attempt that may have run is retried only if the request is repeatable. Each retry is
+/// charged to the retry budget of the account.
+async fn call_service(node: &Arc<Node>, request: &CallerRequest) -> Result<ServiceAnswer> {
     let RequestedWork::Service {
         service,
         path,
@@ -44,22 +48,23 @@
         request_id: request.request_id,
         account: account.name.clone(),
     };
-    let deadline = request.options.deadline;
-    let deadline = node.now() + deadline.unwrap_or(ms(node.settings.times.deadline_ms));
+    let timeout = request.options.deadline;
+    let deadline = node.now() + timeout.unwrap_or(ms(node.settings.times.deadline_ms));
     let allowed = catalog.allowed_endpoints(account, Workload::Service(service))?;
     let mut endpoints: Vec<EndpointObject> = allowed
         .iter()
-        .map(|one| catalog.endpoints[one.index].clone())
+        .map(|allowed| catalog.endpoints[allowed.index].clone())
         .collect();
     endpoints.shuffle(&mut rand::rng());
     endpoints.sort_by_key(|endpoint| endpoint.hall != node.settings.hall);
-    node.count_first_try(&account.name);
+    node.record_first_attempt(&account.name);
     let mut failures = FailedAttempts::default();
     for endpoint in &endpoints {
-        if !failures.is_empty() && !node.take_retry(&account.name) {
+        if !failures.is_empty() && !node.try_spend_retry(&account.name) {
             break;
         }
-        // The last step before sending: news of a departure may have come while others were tried.
+        // Checked immediately before sending, since the departure may have become known while other
+        // endpoints were tried.
         if is_departed(
             node,
             &endpoint.name,
@@ -67,16 +72,20 @@
         ) {
             continue;
         }
-        let Some(client) = node.endpoints.client(endpoint) else {
+        let Some(client) = node.endpoints.client_for(endpoint) else {
             continue;
         };
         let attempt = Unsent::default();
         let attempt_id = attempt.attempt_id;
         let request_id = request.request_id;
-        info!("attempt", kv: { request_id:, attempt_id:, endpoint = endpoint.name.as_str() });
+        info!("sending request to endpoint", kv: {
+            request_id:,
+            attempt_id:,
+            endpoint = endpoint.name.as_str(),
+        });
         let timeout = deadline.saturating_sub(node.now());
         match client.call(attempt, &call, timeout).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(Failed::MayHaveRun(error)) if !request.options.repeatable => return Err(error),
             Err(failed) => failures.record(failed),
         }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -81,11 +81,11 @@
         instance: node.incarnation.name.clone(),
         incarnation: node.incarnation.id.to_string(),
         hall: node.settings.hall.clone(),
-        phase: node.work.phase(),
-        requests_active: node.work.active(),
-        stands_down: node.stands_down(),
+        phase: node.drain_state.phase(),
+        requests_active: node.drain_state.active_requests(),
+        stands_down: node.is_standing_down(),
         config_next_offset: node.config.next_offset(),
-        ticket_epoch: node.once.epoch(),
+        ticket_epoch: node.idempotency.ticket_epoch(),
         members_live,
     }
 }
@@ -128,8 +128,8 @@
         groups: node.dump_groups(),
         lease: node.dump_lease(),
         once: OnceDump {
-            requests: node.once.len(),
-            bytes: node.once.bytes(),
+            requests: node.idempotency.len(),
+            bytes: node.idempotency.size_bytes(),
         },
         reservations_held: node.reservations.len(),
         memory_resident_bytes: memory_resident_bytes(),
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -10,7 +10,7 @@
 use super::generated as wire;
 use super::generated::peer_server::Peer;
 use crate::daemon::node::Node;
-use crate::daemon::{config_loop, member_loop, serve};
+use crate::daemon::{config_loop, dispatch, member_loop};
 
 /// The peers' side of an instance.
 pub(crate) struct PeerService {
@@ -34,8 +34,10 @@
         &self,
         request: Request<wire::Beat>,
     ) -> Result<Response<wire::Beat>, Status> {
-        let peer = member_loop::take_beat(&self.node, request.into_inner())?;
-        Ok(Response::new(member_loop::own_beat(&self.node, &peer)))
+        let peer = member_loop::handle_heartbeat(&self.node, request.into_inner())?;
+        Ok(Response::new(member_loop::build_heartbeat(
+            &self.node, &peer,
+        )))
     }
 
     async fn fetch_config(
@@ -43,7 +45,10 @@
         request: Request<wire::FetchConfigRequest>,
     ) -> Result<Response<wire::FetchConfigReply>, Status> {
         let from_offset = request.into_inner().from_offset;
-        Ok(Response::new(config_loop::give(&self.node, from_offset)))
+        Ok(Response::new(config_loop::build_fetch_reply(
+            &self.node,
+            from_offset,
+        )))
     }
 
     async fn reserve(
@@ -88,7 +93,7 @@
         let text = request.into_inner().request;
         let request = serde_json::from_str(&text)
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let events = serve::start_relayed(&self.node, request);
+        let events = dispatch::start_relayed_request(&self.node, request);
         let events = events.map(|event| {
             let event = serde_json::to_string(&event)
                 .map_err(|error| Status::internal(error.to_string()))?;
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -212,7 +212,7 @@
     publish(&platform, &wanted).await;
     let mut apps = Vec::new();
     for index in 0..options.entries {
-        apps.push(App::start_with(settings(index, policy)?, platform.clone()).await?);
+        apps.push(App::start_with_platform(settings(index, policy)?, platform.clone()).await?);
     }
     // Heartbeats, reports and groups settle.
     tokio::time::sleep(Duration::from_secs(3)).await;
