--- a/src/daemon/engine_selection.rs
+++ b/src/daemon/engine_selection.rs
@@ -124,7 +124,7 @@
                     let name = &catalog.endpoints[candidate.index].name;
                     let model = request.model;
                     self.endpoints
-                        .held_version(name, &model.name, &model.version)
+                        .loaded_version(name, &model.name, &model.version)
                         .is_some()
                 })
                 .collect();
@@ -132,7 +132,7 @@
                 .iter()
                 .map(|candidate| {
                     self.endpoints
-                        .report(&catalog.endpoints[candidate.index].name)
+                        .last_report(&catalog.endpoints[candidate.index].name)
                 })
                 .collect();
             let candidates: Vec<Candidate<'_>> = usable
@@ -174,7 +174,7 @@
         let model = request.model;
         let loaded_version =
             self.endpoints
-                .held_version(&endpoint.name, &model.name, &model.version);
+                .loaded_version(&endpoint.name, &model.name, &model.version);
         SelectedEndpoint {
             incarnation: self.endpoints.incarnation(&endpoint.name),
             version: loaded_version.unwrap_or_else(|| model.version.clone()),
@@ -210,13 +210,13 @@
 
     /// Returns whether a group had no usable endpoint within [`EMPTY_GROUP_RETENTION`].
     fn is_recently_empty(&self, group: &str) -> bool {
-        let recorded_at = self.empty_groups.lock().get(group).copied();
+        let recorded_at = self.last_empty_at.lock().get(group).copied();
         recorded_at.is_some_and(|at| self.now().saturating_sub(at) < EMPTY_GROUP_RETENTION)
     }
 
     fn record_empty(&self, group: &str) {
         let now = self.now();
-        self.empty_groups.lock().insert(group.to_owned(), now);
+        self.last_empty_at.lock().insert(group.to_owned(), now);
     }
 
     /// Reserves an endpoint through the owners of the candidate groups.
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -11,12 +11,12 @@
 use spdlog::{info, warn};
 use tokio::sync::watch;
 
-use super::answer::{AnswerEvent, AnswerSink};
 use super::endpoints::is_departed;
 use super::engine_selection::{SelectedEndpoint, SelectionRequest};
 use super::node::{Node, Phase};
-use super::request::{CallerRequest, GenerationAsked};
+use super::request::{CallerRequest, GenerationParams};
 use super::reservations::Reservation;
+use super::response::{ResponseEvent, ResponseSink};
 use crate::endpoint::protocol::{EngineEvent, FinishReason, GenerationRequest, Started};
 use crate::endpoint::{Endpoint, EngineStream, ResumeError, ResumeFrom};
 use crate::error::{Error, ErrorKind, Result};
@@ -49,7 +49,7 @@
 /// A generation that is being forwarded to a caller.
 struct GenerationRun<'a> {
     node: &'a Arc<Node>,
-    sink: &'a AnswerSink,
+    sink: &'a ResponseSink,
     account: &'a str,
     /// Model name under which token demand is counted for model placement; empty for a resumed
     /// generation, which is not counted.
@@ -89,8 +89,8 @@
 pub(crate) async fn run(
     node: &Arc<Node>,
     request: &CallerRequest,
-    params: &GenerationAsked,
-    sink: &AnswerSink,
+    params: &GenerationParams,
+    sink: &ResponseSink,
 ) {
     if let Err(error) = try_run(node, request, params, sink).await {
         metrics::counter!("larkwick_errors_total", "kind" => format!("{:?}", error.kind))
@@ -102,8 +102,8 @@
 async fn try_run(
     node: &Arc<Node>,
     request: &CallerRequest,
-    params: &GenerationAsked,
-    sink: &AnswerSink,
+    params: &GenerationParams,
+    sink: &ResponseSink,
 ) -> Result<()> {
     let catalog = node.catalog();
     let account = catalog.account_for_key(&request.bearer_key)?;
@@ -116,7 +116,7 @@
         streamed: params.streamed,
         cursor: TokenCursor::starting_at(0),
         delivered: Vec::new(),
-        phase: node.work.watch_phase(),
+        phase: node.drain_state.subscribe_phase(),
     };
     let timeout = request.options.deadline;
     let deadline = node.now() + timeout.unwrap_or(ms(node.settings.times.deadline_ms));
@@ -134,7 +134,7 @@
         excluded: HashSet::new(),
         failures: FailedAttempts::default(),
     };
-    node.count_first_try(&account.name);
+    node.record_first_attempt(&account.name);
     loop {
         let (source, stream) = run.start_generation(&mut start).await?;
         let endpoint = source.generation.endpoint.clone();
@@ -148,7 +148,7 @@
                 let can_replay =
                     request.options.repeatable && (none_delivered || model.reproducible);
                 warn!("generation lost", kv: { request_id: = request.request_id, why = reason.as_str() });
-                if !can_replay || !node.take_retry(&account.name) {
+                if !can_replay || !node.try_spend_retry(&account.name) {
                     return Err(generation_lost(&reason));
                 }
                 start
@@ -177,7 +177,7 @@
 /// The parameters for starting a generation, with the endpoints and errors of failed attempts.
 struct StartContext<'a> {
     request: &'a CallerRequest,
-    params: &'a GenerationAsked,
+    params: &'a GenerationParams,
     account: &'a ClientAccount,
     model: &'a Model,
     seed: u64,
@@ -219,7 +219,7 @@
     ) -> Result<(EngineGeneration, EngineStream)> {
         let repeatable = start.request.options.repeatable;
         for attempt in 0..STARTS_MAX {
-            if attempt > 0 && !self.node.take_retry(&start.account.name) {
+            if attempt > 0 && !self.node.try_spend_retry(&start.account.name) {
                 break;
             }
             let selection = SelectionRequest {
@@ -233,7 +233,7 @@
             };
             let selected = tokio::select! {
                 selected = self.node.select_engine(&selection) => selected,
-                () = self.sink.abandoned() => return Err(caller_disconnected()),
+                () = self.sink.closed() => return Err(caller_disconnected()),
             };
             let selected = selected.map_err(|error| start.failures.error(error))?;
             let endpoint = selected.endpoint.name.clone();
@@ -262,7 +262,7 @@
         if is_departed(self.node, &name, selected.incarnation) {
             return Err(attempt.not_connected(&name));
         }
-        let Some(client) = self.node.endpoints.client(&selected.endpoint) else {
+        let Some(client) = self.node.endpoints.client_for(&selected.endpoint) else {
             return Err(attempt.not_connected(&name));
         };
         let request = start.generation_request(&attempt, &selected);
@@ -359,7 +359,7 @@
             let can_move = self.streamed && self.cursor.next_index() > 0;
             let event = tokio::select! {
                 event = tokio::time::timeout(stall, stream.next()) => event,
-                () = self.sink.abandoned() => return ReadOutcome::Ended(StreamOutcome::Abandoned),
+                () = self.sink.closed() => return ReadOutcome::Ended(StreamOutcome::Abandoned),
                 () = wait_until_moving(&mut self.phase), if can_move => {
                     self.send_moved().await;
                     return ReadOutcome::Ended(StreamOutcome::Abandoned);
@@ -435,7 +435,7 @@
             generation: source.generation.clone(),
             index,
         };
-        let event = AnswerEvent::Token {
+        let event = ResponseEvent::Token {
             id: id.to_string(),
             text,
         };
@@ -460,7 +460,7 @@
         if !self.model.is_empty() {
             self.node.lease.count_demand(self.model, tokens);
         }
-        let event = AnswerEvent::Done {
+        let event = ResponseEvent::Done {
             reason,
             prompt_tokens: source.prompt_tokens,
             tokens,
@@ -471,9 +471,9 @@
 
     /// Tells the caller which other entries it can resume the stream at.
     async fn send_moved(&self) {
-        let entries = self.node.other_entries();
+        let entries = self.node.other_entry_addresses();
         metrics::counter!("larkwick_streams_moved_total").increment(1);
-        self.sink.send(AnswerEvent::Moved { entries }).await;
+        self.sink.send(ResponseEvent::Moved { entries }).await;
     }
 
     /// Opens a new connection to the same generation, to read it from token `index` on.
@@ -548,7 +548,7 @@
     let generation = id.generation;
     let catalog = node.catalog();
     let object = catalog.endpoint(&generation.endpoint);
-    let Some(client) = object.and_then(|object| node.endpoints.client(object)) else {
+    let Some(client) = object.and_then(|object| node.endpoints.client_for(object)) else {
         return;
     };
     client
@@ -561,7 +561,7 @@
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
-    sink: &AnswerSink,
+    sink: &ResponseSink,
 ) {
     if let Err(error) = try_resume(node, request, last_event_id, sink).await {
         sink.send(error.into()).await;
@@ -572,7 +572,7 @@
     node: &Arc<Node>,
     request: &CallerRequest,
     last_event_id: &str,
-    sink: &AnswerSink,
+    sink: &ResponseSink,
 ) -> Result<()> {
     let id: EventId = last_event_id
         .parse()
@@ -584,7 +584,7 @@
         .ok_or_else(|| generation_lost("its endpoint is not published any more"))?;
     let client = node
         .endpoints
-        .client(object)
+        .client_for(object)
         .ok_or_else(|| generation_lost("its endpoint's plug-in is not known here"))?;
     let next_index = id.index.saturating_add(1);
     let mut run = GenerationRun {
@@ -595,7 +595,7 @@
         streamed: true,
         cursor: TokenCursor::starting_at(next_index),
         delivered: Vec::new(),
-        phase: node.work.watch_phase(),
+        phase: node.drain_state.subscribe_phase(),
     };
     let mut source = EngineGeneration {
         client,
--- a/src/daemon/owner.rs
+++ b/src/daemon/owner.rs
@@ -147,7 +147,7 @@
         let hall = hall_of_group(group);
         let now = self.now();
         let members = self.members.lock();
-        let serving = self.work.phase() == Phase::Serving;
+        let serving = self.drain_state.phase() == Phase::Serving;
         let own = serving.then_some((self.incarnation.name.as_str(), self.settings.hall.as_str()));
         let live = members.live(&self.settings.hall, now).map(|peer| {
             (
@@ -265,7 +265,7 @@
 
     /// Returns whether an endpoint sends load reports and has not departed.
     pub(crate) fn can_accept_work(&self, endpoint: &str) -> bool {
-        let is_reporting = self.endpoints.reports(endpoint, self.now());
+        let is_reporting = self.endpoints.has_recent_report(endpoint, self.now());
         is_reporting && !is_departed(self, endpoint, self.endpoints.incarnation(endpoint))
     }
 
@@ -337,7 +337,7 @@
             .map_or("", |model| model.version.as_str());
         let loaded_version = |name: &String| {
             self.endpoints
-                .held_version(name, &request.model, current_version)
+                .loaded_version(name, &request.model, current_version)
         };
         let holders: Vec<(String, bool)> = request
             .candidates
@@ -363,7 +363,7 @@
             .map_or("", |model| model.version.as_str());
         let version = self
             .endpoints
-            .held_version(&grant.endpoint, &request.model, current_version)
+            .loaded_version(&grant.endpoint, &request.model, current_version)
             .unwrap_or_else(|| current_version.to_owned());
         GrantedEndpoint {
             incarnation: self.endpoints.incarnation(&grant.endpoint),
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -10,7 +10,7 @@
 use spdlog::{info, warn};
 use uuid::Uuid;
 
-use super::endpoints::{HALL_EVERY, is_departed};
+use super::endpoints::{HALL_POLL_INTERVAL_ROUNDS, is_departed};
 use super::node::{Node, Phase};
 use crate::endpoint::protocol::{Order, OrderStatus};
 use crate::endpoint::{Endpoint, OrderError};
@@ -167,7 +167,7 @@
 
 /// Claims or renews the lease if due and, with a proof of holding it, starts the due orders.
 async fn run_step(node: &Arc<Node>) {
-    if node.work.phase() > Phase::Serving {
+    if node.drain_state.phase() > Phase::Serving {
         return;
     }
     let lease = node.config.lease(&node.settings.hall);
@@ -197,7 +197,8 @@
     let catalog = node.catalog();
     let hall = &node.settings.hall;
     let now = node.now();
-    let report_age_max = REPORT_AGE_MAX_ROUNDS * HALL_EVERY * ms(node.settings.times.load_poll_ms);
+    let report_age_max =
+        REPORT_AGE_MAX_ROUNDS * HALL_POLL_INTERVAL_ROUNDS * ms(node.settings.times.load_poll_ms);
     // A new holder must have polled the whole hall before it sends any order.
     if now.saturating_sub(proof.since) < report_age_max {
         return;
@@ -209,7 +210,7 @@
         .filter_map(|endpoint| {
             let report = node
                 .endpoints
-                .recent_report(&endpoint.name, now, report_age_max)?;
+                .report_younger_than(&endpoint.name, now, report_age_max)?;
             let departed = is_departed(node, &endpoint.name, Some(report.incarnation));
             (!departed).then(|| (endpoint.name.clone(), report.models))
         })
@@ -301,7 +302,7 @@
 fn order_client(node: &Node, catalog: &Catalog, endpoint: &str) -> Option<Arc<dyn Endpoint>> {
     let object = catalog.endpoint(endpoint)?;
     matches!(object.role, EndpointRole::Engine { .. })
-        .then(|| node.endpoints.client(object))
+        .then(|| node.endpoints.client_for(object))
         .flatten()
 }
 
