--- a/src/tool/log_limits.rs
+++ b/src/tool/log_limits.rs
@@ -1,4 +1,5 @@
-//! What endpoints that name a limit got from all instances together, second by second: from the logs of instances that serve routes.
+//! Counts the requests that all gateway instances together sent to endpoints with an announced rate
+//! limit, per endpoint and second, from the logs of the instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,36 +8,37 @@
 
 use super::logs::LogLine;
 
-/// Rows that are kept; each takes some hundred bytes and a name for each instance.
+/// Maximum number of rows kept in memory. A row takes a few hundred bytes plus the name of each
+/// instance.
 const ROWS_MAX: usize = 20_000;
 const MILLIS_PER_S: u64 = 1_000;
 
-/// What one endpoint got in one second.
+/// Requests sent to one endpoint in one second.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct LimitRow {
-    /// The start of the endpoint.
+pub struct LimitUsageRow {
+    /// The endpoint, as one incarnation: a restarted endpoint gets rows of its own.
     pub endpoint: String,
-    /// The second, since 1970, by the instances' time of day.
+    /// The second, as Unix time by the clocks of the instances.
     pub at_s: u64,
-    /// Lowest limit that an instance knew, in requests a second.
+    /// Lowest limit that an instance knew of, in requests per second.
     pub limit_per_s: f64,
-    /// Requests that left for it.
+    /// Number of requests sent.
     pub sent: u32,
-    /// Logs that tell of them.
+    /// Names of the logs that contain these requests.
     pub instances: BTreeSet<String>,
 }
 
-/// What limited endpoints got, from any number of logs.
+/// Requests sent to rate-limited endpoints, aggregated over any number of logs.
 #[derive(Debug, Default)]
-pub struct LimitedSends {
-    /// By endpoint and second.
-    rows: BTreeMap<(String, u64), LimitRow>,
-    left_out: u64,
+pub struct LimitUsage {
+    /// Rows by endpoint and second.
+    rows: BTreeMap<(String, u64), LimitUsageRow>,
+    uncounted_lines: u64,
 }
 
-impl LimitedSends {
-    /// Takes a line of one instance's log into account.
-    pub fn take(&mut self, source_name: &str, line: &LogLine) {
+impl LimitUsage {
+    /// Counts a line of the log named `source_name`. Lines of other kinds are ignored.
+    pub fn record_line(&mut self, source_name: &str, line: &LogLine) {
         if line.payload != "sent to limited endpoint" {
             return;
         }
@@ -45,13 +47,13 @@
         let (Some(endpoint), Some(limit_per_s)) = (line.fields.get("endpoint"), limit_per_s) else {
             return;
         };
-        let at_s = line.at_ms / MILLIS_PER_S;
+        let at_s = line.timestamp_ms / MILLIS_PER_S;
         let key = (endpoint.clone(), at_s);
         if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key) {
-            self.left_out += 1;
+            self.uncounted_lines += 1;
             return;
         }
-        let row = self.rows.entry(key).or_insert_with(|| LimitRow {
+        let row = self.rows.entry(key).or_insert_with(|| LimitUsageRow {
             endpoint: endpoint.clone(),
             at_s,
             limit_per_s,
@@ -63,22 +65,23 @@
         row.instances.insert(source_name.to_owned());
     }
 
-    /// All rows, or those of one endpoint, by endpoint and second.
+    /// Returns all rows, or those of one endpoint, ordered by endpoint and second.
     #[must_use]
-    pub fn of(&self, name: Option<&str>) -> Vec<&LimitRow> {
+    pub fn rows_for(&self, endpoint: Option<&str>) -> Vec<&LimitUsageRow> {
         let rows = self.rows.values();
-        rows.filter(|row| name.is_none_or(|name| row.endpoint == name))
+        rows.filter(|row| endpoint.is_none_or(|endpoint| row.endpoint == endpoint))
             .collect()
     }
 
-    /// Lines beyond the limit, which are not counted.
+    /// Returns the number of lines that were not counted because the maximum number of rows was
+    /// reached.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
-        self.left_out
+    pub fn uncounted_lines(&self) -> u64 {
+        self.uncounted_lines
     }
 }
 
-impl fmt::Display for LimitRow {
+impl fmt::Display for LimitUsageRow {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
--- a/src/tool/logs.rs
+++ b/src/tool/logs.rs
@@ -1,7 +1,8 @@
-//! Reads the log lines of instances that serve routes: how requests ended and why, and one request's life.
+//! Reads the logs of gateway instances: a summary of request outcomes and their causes, and the
+//! timeline of a single request.
 //!
-//! Memory is bounded whatever the length of the logs: rows, open generations and lines of one request each have a limit, and what goes
-//! beyond it is counted.
+//! Memory use is bounded regardless of the size of the logs: summary rows, open generations and the
+//! lines of one request each have a maximum. Rows and lines beyond their maximum are counted.
 
 use std::collections::{BTreeMap, HashSet};
 use std::fmt;
@@ -10,182 +11,190 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Rows of a summary; more kinds of ends than any site has shown. Each takes some 20 KB.
+/// Maximum number of summary rows: more distinct outcomes than any site has shown. Each row takes
+/// about 20 KB.
 const ROWS_MAX: usize = 500;
-/// Generations that have begun and not ended; far above what a site of 2,300 instances runs at once on one instance.
-const OPEN_MAX: usize = 200_000;
-/// Lines of one request.
-const LIFE_LINES_MAX: usize = 10_000;
-/// Longest time that is told apart from longer ones.
-const TOOK_MAX_MS: u64 = 3_600_000;
+/// Maximum number of tracked generations that have started and not ended: far above what one
+/// instance of a site with 2,300 instances runs at once.
+const OPEN_GENERATIONS_MAX: usize = 200_000;
+/// Maximum number of lines kept for one request.
+const TIMELINE_LINES_MAX: usize = 10_000;
+/// Longest duration that the histograms distinguish; longer ones are counted as this value.
+const DURATION_MAX_MS: u64 = 3_600_000;
 
-/// A line that is no log line.
+/// A line that is not a valid log line.
 #[derive(Debug, thiserror::Error)]
-#[error("{source_name} line {number}: {why}; pass --skip-damaged to leave such lines out")]
-pub struct DamagedLine {
+#[error("{source_name} line {number}: {reason}; pass --skip-damaged to skip such lines")]
+pub struct MalformedLine {
     source_name: String,
     number: u64,
-    why: String,
+    reason: String,
 }
 
 /// A line of an instance's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogLine {
-    /// Time of day at the instance.
+    /// Unix time in milliseconds by the clock of the instance.
     #[serde(rename = "timestamp")]
-    pub at_ms: u64,
-    /// Severity.
+    pub timestamp_ms: u64,
+    /// Severity, such as `info`.
     pub level: String,
-    /// Kind of the line.
+    /// Text of the line. It is constant per kind of line, so that lines can be matched by it.
     pub payload: String,
-    /// What the line tells, as text.
+    /// Structured fields of the line, with their values as text.
     #[serde(default, rename = "kv")]
     pub fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
+    /// Returns the value of a field, or an empty string if the line does not have it.
     fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 }
 
-/// Reads lines one by one; `take` gets each.
+/// Parses the log lines of a source one by one and calls `on_line` with each. Blank lines are
+/// ignored.
 ///
-/// Gives the number of damaged lines left out.
+/// Returns the number of malformed lines that were skipped.
 ///
 /// # Errors
-/// The source cannot be read, or a line is damaged and `skips_damaged` is not set.
+/// Fails if the source cannot be read, or if a line is malformed and `skip_malformed` is not set.
 pub fn read_lines(
     source_name: &str,
     source: impl BufRead,
-    skips_damaged: bool,
-    mut take: impl FnMut(LogLine),
+    skip_malformed: bool,
+    mut on_line: impl FnMut(LogLine),
 ) -> anyhow::Result<u64> {
-    let mut damaged = 0;
+    let mut malformed_count = 0;
     for (number, line) in (1..).zip(source.lines()) {
         let line = line?;
         if line.trim().is_empty() {
             continue;
         }
         match serde_json::from_str(&line) {
-            Ok(line) => take(line),
-            Err(_) if skips_damaged => damaged += 1,
+            Ok(line) => on_line(line),
+            Err(_) if skip_malformed => malformed_count += 1,
             Err(error) => {
-                return Err(DamagedLine {
+                return Err(MalformedLine {
                     source_name: source_name.to_owned(),
                     number,
-                    why: error.to_string(),
+                    reason: error.to_string(),
                 }
                 .into());
             }
         }
     }
-    Ok(damaged)
+    Ok(malformed_count)
 }
 
-/// Which requests a row counts.
+/// The properties by which a summary groups requests into rows.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Ending {
-    /// Name of the route; empty for requests that were refused before they had one.
+pub struct OutcomeKey {
+    /// Name of the route; empty for requests that were rejected before a route was found.
     pub route: String,
-    /// How they ended.
+    /// Outcome, as logged.
     pub outcome: String,
-    /// Why, with names and numbers left out.
+    /// Cause, with request-specific names and numbers replaced; see `normalize_cause`.
     pub cause: String,
 }
 
-/// How long the requests of a row took.
-struct Row {
-    took_ms: Histogram<u64>,
+/// Durations of the requests of one row.
+struct RowDurations {
+    durations_ms: Histogram<u64>,
 }
 
-/// How requests ended, from any number of logs.
+/// Request outcomes, aggregated over any number of logs.
 #[derive(Default)]
 pub struct Summary {
-    rows: BTreeMap<Ending, Row>,
-    /// Ends that would have been one row too many.
-    rows_left_out: u64,
-    /// Generations that were placed and have not ended, with nothing more known of them.
-    open: HashSet<String>,
-    /// Lines that instances left out themselves.
-    lines_left_out: u64,
+    rows: BTreeMap<OutcomeKey, RowDurations>,
+    /// Requests that were not counted because their row would have exceeded [`ROWS_MAX`].
+    uncounted_requests: u64,
+    /// Ids of generations that were placed and have not ended.
+    open_generations: HashSet<String>,
+    /// Lines that the instances themselves dropped and reported as dropped.
+    dropped_lines: u64,
 }
 
-/// A row of a summary as it is printed.
+/// A printable row of a summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SummaryRow {
-    /// Which requests.
+    /// Properties that the requests of the row share.
     #[serde(flatten)]
-    pub ending: Ending,
-    /// How many.
+    pub key: OutcomeKey,
+    /// Number of requests.
     pub requests: u64,
-    /// Half of them took no longer.
+    /// Median duration.
     pub median_ms: u64,
-    /// 99 in 100 took no longer.
+    /// 99th percentile of the duration.
     pub p99_ms: u64,
 }
 
 impl Summary {
-    /// Takes a line into account.
-    pub fn take(&mut self, line: &LogLine) {
+    /// Counts a line. Lines of other kinds are ignored.
+    pub fn record_line(&mut self, line: &LogLine) {
         match line.payload.as_str() {
-            "call ended" => self.ended(line, line.field("outcome"), line.field("last_reason")),
+            "call ended" => {
+                self.add_outcome(line, line.field("outcome"), line.field("last_reason"));
+            }
             "generation ended" => {
-                self.open.remove(line.field("request_id"));
-                self.ended(line, line.field("outcome"), line.field("why"));
+                self.open_generations.remove(line.field("request_id"));
+                self.add_outcome(line, line.field("outcome"), line.field("why"));
             }
-            "call refused" => self.ended(line, line.field("kind"), line.field("why")),
-            "generation placed" if self.open.len() < OPEN_MAX => {
-                self.open.insert(line.field("request_id").to_owned());
+            "call refused" => self.add_outcome(line, line.field("kind"), line.field("why")),
+            "generation placed" if self.open_generations.len() < OPEN_GENERATIONS_MAX => {
+                self.open_generations
+                    .insert(line.field("request_id").to_owned());
             }
             "log lines left out" => {
-                self.lines_left_out += line.field("left_out").parse().unwrap_or(1);
+                self.dropped_lines += line.field("left_out").parse().unwrap_or(1);
             }
             _ => {}
         }
     }
 
-    fn ended(&mut self, line: &LogLine, outcome: &str, why: &str) {
-        let ending = Ending {
+    fn add_outcome(&mut self, line: &LogLine, outcome: &str, reason: &str) {
+        let key = OutcomeKey {
             route: line.field("route").to_owned(),
             outcome: outcome.to_owned(),
-            cause: cause(why),
+            cause: normalize_cause(reason),
         };
-        if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&ending) {
-            self.rows_left_out += 1;
+        if self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key) {
+            self.uncounted_requests += 1;
             return;
         }
-        let row = self.rows.entry(ending).or_insert_with(Row::new);
-        let took_ms = line.field("took_ms").parse().unwrap_or_default();
-        row.took_ms.saturating_record(took_ms);
+        let row = self.rows.entry(key).or_insert_with(RowDurations::new);
+        let duration_ms = line.field("took_ms").parse().unwrap_or_default();
+        row.durations_ms.saturating_record(duration_ms);
     }
 
-    /// The rows, those with most requests first.
+    /// Returns the rows, ordered by number of requests, largest first.
     #[must_use]
     pub fn rows(&self) -> Vec<SummaryRow> {
-        let rows = self.rows.iter().map(|(ending, row)| SummaryRow {
-            ending: ending.clone(),
-            requests: row.took_ms.len(),
-            median_ms: row.took_ms.value_at_quantile(0.5),
-            p99_ms: row.took_ms.value_at_quantile(0.99),
+        let rows = self.rows.iter().map(|(key, row)| SummaryRow {
+            key: key.clone(),
+            requests: row.durations_ms.len(),
+            median_ms: row.durations_ms.value_at_quantile(0.5),
+            p99_ms: row.durations_ms.value_at_quantile(0.99),
         });
         let mut rows: Vec<SummaryRow> = rows.collect();
         rows.sort_by_key(|row| std::cmp::Reverse(row.requests));
         rows
     }
 
-    /// Generations that were placed and have no end in the logs: they run still, or their instance died with them.
+    /// Returns the number of generations that were placed and have no end in the logs: they are
+    /// still running, or the instance crashed before it logged their end.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn open_generations(&self) -> usize {
+        self.open_generations.len()
     }
 }
 
-impl Row {
+impl RowDurations {
     fn new() -> Self {
-        let took_ms = Histogram::new_with_bounds(1, TOOK_MAX_MS, 2);
+        let durations_ms = Histogram::new_with_bounds(1, DURATION_MAX_MS, 2);
         Self {
-            took_ms: took_ms.expect("the bounds are constants that fit"),
+            durations_ms: durations_ms.expect("constant histogram bounds are valid"),
         }
     }
 }
@@ -194,11 +203,11 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(out, "requests  median ms  99 % ms  route  outcome: cause")?;
         for row in self.rows() {
-            let Ending {
+            let OutcomeKey {
                 route,
                 outcome,
                 cause,
-            } = &row.ending;
+            } = &row.key;
             let route = if route.is_empty() { "-" } else { route };
             let (requests, median_ms, p99_ms) = (row.requests, row.median_ms, row.p99_ms);
             write!(
@@ -210,84 +219,90 @@
             }
             writeln!(out)?;
         }
-        writeln!(out, "{:>8}  generations without an end", self.open())?;
-        if self.lines_left_out > 0 {
-            let lines = self.lines_left_out;
+        writeln!(
+            out,
+            "{:>8}  generations without an end",
+            self.open_generations()
+        )?;
+        if self.dropped_lines > 0 {
+            let lines = self.dropped_lines;
             writeln!(
                 out,
                 "{lines:>8}  lines left out by the instances: counts are too low"
             )?;
         }
-        if self.rows_left_out > 0 {
-            let ends = self.rows_left_out;
-            writeln!(out, "{ends:>8}  ends of further kinds")?;
+        if self.uncounted_requests > 0 {
+            let requests = self.uncounted_requests;
+            writeln!(out, "{requests:>8}  ends of further kinds")?;
         }
         Ok(())
     }
 }
 
-/// A reason without what differs from request to request: words with a digit become `#`, but for status codes.
-fn cause(why: &str) -> String {
-    let words = why.split(' ').map(|word| {
-        let plain = word.trim_matches(|sign: char| !sign.is_alphanumeric());
-        let is_status = plain.len() == 3 && plain.chars().all(|sign| sign.is_ascii_digit());
-        if is_status || !plain.chars().any(|sign| sign.is_ascii_digit()) {
+/// Normalizes a reason so that requests with the same cause are counted together: words that
+/// contain a digit, such as addresses, become `#`. Three-digit numbers are kept, since they are
+/// status codes.
+fn normalize_cause(reason: &str) -> String {
+    let words = reason.split(' ').map(|word| {
+        let trimmed = word.trim_matches(|symbol: char| !symbol.is_alphanumeric());
+        let is_status = trimmed.len() == 3 && trimmed.chars().all(|symbol| symbol.is_ascii_digit());
+        if is_status || !trimmed.chars().any(|symbol| symbol.is_ascii_digit()) {
             word.to_owned()
         } else {
-            word.replace(plain, "#")
+            word.replace(trimmed, "#")
         }
     });
     let words: Vec<String> = words.collect();
     words.join(" ")
 }
 
-/// The lines of one request, from any number of logs.
+/// The log lines of one request, collected from any number of logs.
 #[derive(Default)]
-pub struct Life {
+pub struct RequestTimeline {
     request_id: String,
-    /// Lines, each with the log that it stands in.
+    /// Lines with the name of the log that contains them.
     lines: Vec<(String, LogLine)>,
-    lines_left_out: u64,
+    omitted_lines: u64,
 }
 
-impl Life {
-    /// The life of a request of which nothing was read yet.
+impl RequestTimeline {
+    /// Creates an empty timeline for the request with this id.
     #[must_use]
-    pub fn of(request_id: &str) -> Self {
+    pub fn new(request_id: &str) -> Self {
         Self {
             request_id: request_id.to_owned(),
             ..Self::default()
         }
     }
 
-    /// Takes a line into account.
-    pub fn take(&mut self, source_name: &str, line: LogLine) {
+    /// Adds a line of the log named `source_name`. Lines of other requests are ignored.
+    pub fn record_line(&mut self, source_name: &str, line: LogLine) {
         if line.field("request_id") != self.request_id {
             return;
         }
-        if self.lines.len() >= LIFE_LINES_MAX {
-            self.lines_left_out += 1;
+        if self.lines.len() >= TIMELINE_LINES_MAX {
+            self.omitted_lines += 1;
             return;
         }
         self.lines.push((source_name.to_owned(), line));
     }
 
-    /// Whether no line names the request.
+    /// Returns true if no line of the request was found.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for RequestTimeline {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut lines: Vec<_> = self.lines.iter().collect();
-        // Lines of one log stay in their order.
-        lines.sort_by_key(|(_, line)| line.at_ms);
-        let begun_ms = lines.first().map_or(0, |(_, line)| line.at_ms);
+        // The sort is stable, so lines of one log keep their order.
+        lines.sort_by_key(|(_, line)| line.timestamp_ms);
+        let start_ms = lines.first().map_or(0, |(_, line)| line.timestamp_ms);
         for (source_name, line) in lines {
-            let after_ms = line.at_ms.saturating_sub(begun_ms);
-            write!(out, "{after_ms:>8} ms  {source_name}  {}", line.payload)?;
+            let elapsed_ms = line.timestamp_ms.saturating_sub(start_ms);
+            write!(out, "{elapsed_ms:>8} ms  {source_name}  {}", line.payload)?;
             for (name, value) in &line.fields {
                 if name != "request_id" && !value.is_empty() {
                     write!(out, "  {name}={value}")?;
@@ -295,8 +310,8 @@
             }
             writeln!(out)?;
         }
-        if self.lines_left_out > 0 {
-            writeln!(out, "{} lines left out", self.lines_left_out)?;
+        if self.omitted_lines > 0 {
+            writeln!(out, "{} lines left out", self.omitted_lines)?;
         }
         Ok(())
     }
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,10 +1,10 @@
-//! What the command-line tool does, one subject a file.
+//! Implementation of the command-line tool's commands, one module per subject.
 
 pub mod check;
 pub mod config;
 pub mod instance;
 pub mod load;
+pub mod log_availability;
 pub mod log_limits;
-pub mod log_places;
 pub mod logs;
 pub mod publish;
