--- a/src/bin/larkwick/flags.rs
+++ b/src/bin/larkwick/flags.rs
@@ -1,4 +1,5 @@
-//! Command line of the tool.
+//! Command-line arguments of `larkwick`. The doc comments of the commands and flags are the help
+//! text.
 
 use std::path::PathBuf;
 
--- a/src/bin/larkwick/main.rs
+++ b/src/bin/larkwick/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool.
+//! The command-line tool for operators.
 
 mod controller;
 mod flags;
--- a/src/bin/larkwick/printer.rs
+++ b/src/bin/larkwick/printer.rs
@@ -1,25 +1,25 @@
-//! Prints results for people or scripts.
+//! Prints results as text for people or as JSON for scripts.
 
-use larkwick::tool::publish::Published;
+use larkwick::tool::publish::PublishOutcome;
 use serde_json::Value;
 
-/// How to print.
+/// The output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// One field a line.
+    /// One field per line.
     Text,
     /// Indented JSON.
     Json,
 }
 
 impl Format {
-    /// From the flag `--json`.
-    pub fn of(json: bool) -> Self {
+    /// Returns the format that the flag `--json` selects.
+    pub fn from_json_flag(json: bool) -> Self {
         if json { Self::Json } else { Self::Text }
     }
 }
 
-/// Prints a JSON value.
+/// Prints a JSON value. In text format, only objects and arrays are split into lines.
 pub fn print_value(value: &Value, format: Format) {
     match (format, value) {
         (Format::Text, Value::Object(fields)) => {
@@ -49,26 +49,28 @@
     }
 }
 
-/// Prints what became of a publish.
-pub fn print_published(published: &Published, format: Format) {
+/// Prints the outcome of a publish.
+pub fn print_outcome(outcome: &PublishOutcome, format: Format) {
     if format == Format::Json {
-        match serde_json::to_string(published) {
+        match serde_json::to_string(outcome) {
             Ok(text) => println!("{text}"),
             Err(error) => eprintln!("larkwick: {error}"),
         }
         return;
     }
-    match published {
-        Published::Accepted { publish_id, offset } => {
+    match outcome {
+        PublishOutcome::Accepted { publish_id, offset } => {
             println!("accepted: {publish_id} at offset {offset}");
         }
-        Published::NothingToChange => println!("nothing to change"),
-        Published::Rejected {
+        PublishOutcome::NothingToChange => println!("nothing to change"),
+        PublishOutcome::Rejected {
             publish_id,
             verdict,
         } => println!("rejected: {publish_id}: {verdict:?}"),
-        Published::NotPublished { why } => println!("nothing published: {why}; try again"),
-        Published::Unknown { publish_id } => {
+        PublishOutcome::NotPublished { reason } => {
+            println!("nothing published: {reason}; try again");
+        }
+        PublishOutcome::Unknown { publish_id } => {
             println!("unknown: try again with --publish-id {publish_id}");
         }
     }
--- a/src/bin/larkwickd/demo.rs
+++ b/src/bin/larkwickd/demo.rs
@@ -1,4 +1,5 @@
-//! The main job in one process: a platform and an engine inside, configuration published, an answer ready to be streamed.
+//! The demo: runs an instance with a stand-in platform and a stand-in engine in one process,
+//! publishes a configuration, and prints how to stream a response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +13,13 @@
 use larkwick::standin::engine_core::EngineSpec;
 use larkwick::standin::platform::PlatformCore;
 use larkwick::tool::check::parse_objects;
-use larkwick::tool::publish::{PublishWanted, Published, publish};
+use larkwick::tool::publish::{PublishOutcome, PublishRequest, publish};
 use larkwick::{App, Settings, any_loopback_port};
 
 const OBJECTS: &str = include_str!("demo-objects.jsonc");
 const SETTINGS: &str = include_str!("demo-settings.jsonc");
-const ENGINE_PLACEHOLDER: &str = "127.0.0.1:1";
+/// Address in [`OBJECTS`] that is replaced by that of the started engine.
+const ENGINE_ADDRESS_PLACEHOLDER: &str = "127.0.0.1:1";
 
 /// Runs the demo until it is stopped.
 pub async fn run() -> anyhow::Result<()> {
@@ -37,23 +39,23 @@
     })
     .await?;
     let engine_address = engine.server.address.to_string();
-    let objects = OBJECTS.replace(ENGINE_PLACEHOLDER, &engine_address);
-    let wanted = PublishWanted {
+    let objects = OBJECTS.replace(ENGINE_ADDRESS_PLACEHOLDER, &engine_address);
+    let request = PublishRequest {
         objects: parse_objects("demo-objects.jsonc", &objects)?,
         deletes: Vec::new(),
         publisher: "demo".to_owned(),
         publish_id: None,
         wait: Duration::from_secs(5),
     };
-    let published = publish(&platform, &wanted).await;
+    let outcome = publish(&platform, &request).await;
     anyhow::ensure!(
-        matches!(published, Published::Accepted { .. }),
-        "demo configuration was not accepted: {published:?}"
+        matches!(outcome, PublishOutcome::Accepted { .. }),
+        "demo configuration was not accepted: {outcome:?}"
     );
     let settings: Settings = parse_jsonc("demo-settings.jsonc", SETTINGS)?;
     let app = App::start_with(settings, platform)
         .await
-        .context("demo instance")?;
+        .context("cannot start the demo instance")?;
     let addresses = app.addresses();
     println!("callers:   http://{}", addresses.caller);
     println!("operators: http://{}/debug/state", addresses.operator);
--- a/src/bin/larkwickd/flags.rs
+++ b/src/bin/larkwickd/flags.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon.
+//! Command-line arguments of `larkwickd`. The doc comments of the flags are the help text.
 
 use std::path::PathBuf;
 
--- a/src/bin/larkwickd/main.rs
+++ b/src/bin/larkwickd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: every instance runs this program.
+//! The daemon. Each running process is one instance.
 
 mod demo;
 mod flags;
@@ -40,7 +40,8 @@
     runtime.block_on(serve(settings))
 }
 
-/// One thread needs no scheduler between threads, which costs wake-ups.
+/// Builds the async runtime. With one worker thread it uses the current-thread scheduler: the
+/// multi-thread scheduler costs thread wake-ups.
 fn runtime(worker_threads: Option<usize>) -> anyhow::Result<tokio::runtime::Runtime> {
     let mut builder = match worker_threads {
         Some(1) => tokio::runtime::Builder::new_current_thread(),
@@ -52,6 +53,7 @@
     Ok(builder.enable_all().build()?)
 }
 
+/// Runs a gateway instance until SIGTERM or SIGINT. SIGHUP reloads the settings.
 async fn serve_routes(settings: Settings, path: &Path) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -68,17 +70,19 @@
     Ok(())
 }
 
+/// Runs an instance until SIGTERM, SIGINT or a drain by an operator, and waits until it is drained.
+/// Prints its addresses as JSON once it has started.
 async fn serve(settings: Settings) -> anyhow::Result<()> {
     let app = App::start(settings).await?;
     println!("{}", serde_json::to_string(&app.addresses())?);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let stopped = app.drained_by(async move {
+    let drained = app.drained_by(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
     });
-    stopped.await;
+    drained.await;
     Ok(())
 }
--- a/src/tool/check.rs
+++ b/src/tool/check.rs
@@ -1,4 +1,4 @@
-//! Reads and checks files of objects.
+//! Reads and validates files of configuration objects.
 
 use std::path::{Path, PathBuf};
 
@@ -9,11 +9,11 @@
 use crate::kernel::object::{InvalidField, Object};
 use crate::settings::{FileError, Settings, line_of_field, parse_jsonc};
 
-/// A file of objects.
+/// The contents of an object file.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectFile {
-    /// The objects.
+    /// Objects in the order of the file.
     pub objects: Vec<Object>,
 }
 
@@ -25,10 +25,12 @@
     })
 }
 
-/// Reads files of objects and checks each object by itself.
+/// Reads object files and validates each object on its own; references between objects are not
+/// checked.
 ///
 /// # Errors
-/// File, line and field of the first fault.
+/// Returns the file, line and field of the first invalid object, or the file that could not be
+/// read or parsed.
 pub fn read_objects(paths: &[PathBuf]) -> Result<Vec<Object>, FileError> {
     let mut objects = Vec::new();
     for path in paths {
@@ -38,43 +40,45 @@
     Ok(objects)
 }
 
-/// Reads the objects of one file's text.
+/// Parses and validates the objects in the text of one file. `file` is used in error messages
+/// only.
 ///
 /// # Errors
-/// Line and field of the first fault.
+/// Returns the line and field of the first invalid object, or the position of a syntax error.
 pub fn parse_objects(file: &str, text: &str) -> Result<Vec<Object>, FileError> {
     let parsed: ObjectFile = parse_jsonc(file, text)?;
     for object in &parsed.objects {
-        check_object(object).map_err(|invalid| located(file, text, object, &invalid))?;
+        validate_object(object).map_err(|invalid| locate_error(file, text, object, &invalid))?;
     }
     Ok(parsed.objects)
 }
 
-fn check_object(object: &Object) -> Result<(), InvalidField> {
+fn validate_object(object: &Object) -> Result<(), InvalidField> {
     object.validate()?;
-    let Object::Endpoint(published) = object else {
+    let Object::Endpoint(endpoint_object) = object else {
         return Ok(());
     };
-    let known = endpoint::names();
-    if known.contains(&published.plugin.as_str()) {
+    let plugin_names = endpoint::names();
+    if plugin_names.contains(&endpoint_object.plugin.as_str()) {
         return Ok(());
     }
     Err(InvalidField {
         object: object.key().to_string(),
         field: "plugin".to_owned(),
-        allowed: format!("one of {}", known.join(", ")),
+        allowed: format!("one of {}", plugin_names.join(", ")),
     })
 }
 
-/// Finds the field's line: its first appearance after the object's name, else the line of the name.
-fn located(file: &str, text: &str, object: &Object, invalid: &InvalidField) -> FileError {
-    let name = format!("\"{}\"", object.key().name);
+/// Builds an error that points at the line of the invalid field: the first occurrence of the field
+/// after the object's name, or the line of the name if the field does not occur.
+fn locate_error(file: &str, text: &str, object: &Object, invalid: &InvalidField) -> FileError {
+    let quoted_name = format!("\"{}\"", object.key().name);
     let name_line = text
         .lines()
-        .position(|line| line.contains(&name))
+        .position(|line| line.contains(&quoted_name))
         .unwrap_or(0);
-    let after: Vec<&str> = text.lines().skip(name_line).collect();
-    let offset = line_of_field(&after.join("\n"), &invalid.field);
+    let lines_from_name: Vec<&str> = text.lines().skip(name_line).collect();
+    let offset = line_of_field(&lines_from_name.join("\n"), &invalid.field);
     FileError {
         file: file.to_owned(),
         line: name_line + offset,
@@ -82,10 +86,11 @@
     }
 }
 
-/// Checks a file of objects or of settings, whichever it is; gives a line that says what it is.
+/// Validates an object file or a settings file, detected by its content. Returns a line for the
+/// user that names the kind of the file.
 ///
 /// # Errors
-/// File, line and field of the first fault.
+/// Returns the file, line and field of the first error.
 pub fn check_file(path: &Path) -> Result<String, FileError> {
     let text = read_text(path)?;
     if text.contains("\"objects\"") {
--- a/src/tool/instance.rs
+++ b/src/tool/instance.rs
@@ -1,49 +1,52 @@
-//! Talks to one instance: status, dump, drain, entries and the contents that endpoints ended under.
+//! HTTP client for one instance: status, state dump, drain, entries and crash suspects.
 
 use anyhow::Context;
 use serde_json::Value;
 
-/// Reads a JSON answer of an instance.
+/// Sends a GET request to an instance and parses the JSON response.
 ///
 /// # Errors
-/// The instance cannot be reached or answers with an error.
-pub async fn get(address: &str, path: &str) -> anyhow::Result<Value> {
+/// Fails if the instance cannot be reached, responds with an error status, or sends no valid JSON.
+pub async fn get_json(address: &str, path: &str) -> anyhow::Result<Value> {
     let url = format!("http://{address}{path}");
     let response = reqwest::get(&url)
         .await
-        .with_context(|| format!("{address} cannot be reached; is it the right address?"))?;
+        .with_context(|| format!("cannot connect to {address}; check the address"))?;
     Ok(response.error_for_status()?.json().await?)
 }
 
-/// Begins a planned stop.
+/// Starts a graceful shutdown of an instance.
 ///
 /// # Errors
-/// The instance cannot be reached.
+/// Fails if the instance cannot be reached or responds with an error status.
 pub async fn drain(operator_address: &str) -> anyhow::Result<()> {
     let url = format!("http://{operator_address}/drain");
     let response = reqwest::Client::new().post(url).send().await;
     response
-        .with_context(|| format!("{operator_address} cannot be reached"))?
+        .with_context(|| format!("cannot connect to {operator_address}"))?
         .error_for_status()?;
     Ok(())
 }
 
-/// Has a content that endpoints ended under counted from nothing, at all instances.
+/// Releases a crash suspect: all instances discard the crashes recorded for this request
+/// fingerprint and count from zero again.
 ///
 /// # Errors
-/// The instance cannot be reached, or knows no such content.
-pub async fn let_suspect_go(operator_address: &str, content: &str) -> anyhow::Result<()> {
-    let url = format!("http://{operator_address}/suspects/{content}/let-go");
+/// Fails if the instance cannot be reached, does not know the fingerprint, or rejects its format.
+pub async fn release_suspect(operator_address: &str, fingerprint: &str) -> anyhow::Result<()> {
+    let url = format!("http://{operator_address}/suspects/{fingerprint}/let-go");
     let response = reqwest::Client::new().post(url).send().await;
-    let response = response.with_context(|| format!("{operator_address} cannot be reached"))?;
+    let response = response.with_context(|| format!("cannot connect to {operator_address}"))?;
     match response.status() {
         reqwest::StatusCode::NOT_FOUND => {
             anyhow::bail!(
-                "{operator_address} knows no content {content:?}; see `larkwick suspects list`"
+                "{operator_address} does not know the request fingerprint {fingerprint:?}; see `larkwick suspects list`"
             )
         }
         reqwest::StatusCode::BAD_REQUEST => {
-            anyhow::bail!("{content:?} names no content; 48 hexadecimal digits are wanted")
+            anyhow::bail!(
+                "invalid request fingerprint {fingerprint:?}: expected 48 hexadecimal digits"
+            )
         }
         _ => Ok(response.error_for_status().map(drop)?),
     }
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -1,4 +1,5 @@
-//! Compares routing policies: the same seeded arrivals against the same kind of engines, one policy after the other.
+//! Compares routing policies: runs the same seeded arrivals against identical engines, one policy
+//! after the other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::arrivals::{ACCOUNTS, ArrivalPlan, Mix, carried_per_s, plan};
+use super::arrivals::{ACCOUNTS, Mix, PlannedRequest, engine_capacity_per_s, poisson_arrivals};
 use super::overhead::micros;
-use super::stream::{MODEL, StreamEnd, StreamMeasured, Target, drive};
+use super::stream::{MODEL, StreamMeasurement, StreamOutcome, Target, drive_stream};
 use crate::endpoint::plain_client;
 use crate::kernel::clock::SystemClock;
 use crate::kernel::policy::LoadedModel;
@@ -20,31 +21,32 @@
 use crate::standin::engine_core::EngineSpec;
 use crate::standin::platform::PlatformCore;
 use crate::tool::check::parse_objects;
-use crate::tool::publish::{PublishWanted, publish};
+use crate::tool::publish::{PublishRequest, publish};
 use crate::{App, any_loopback_port};
 
 /// What to compare.
 #[derive(Debug, Clone)]
 pub struct CompareOptions {
-    /// Routing policies.
+    /// Names of the routing policies to compare.
     pub policies: Vec<String>,
-    /// Loads, in percent of what the engines carry.
+    /// Loads to run, in percent of the engines' capacity.
     pub loads_percent: Vec<u32>,
-    /// Seeds.
+    /// Seeds of the arrivals. Each load runs once per seed.
     pub seeds: Vec<u64>,
-    /// Length of each run's arrivals.
-    pub lasts: Duration,
-    /// Kind of requests.
+    /// Time in which requests arrive, per run.
+    pub duration: Duration,
+    /// Request mix.
     pub mix: Mix,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Entries.
+    /// Number of instances that accept requests.
     pub entries: usize,
-    /// Lag of the engines' load reports.
+    /// Delay of the engines' load reports.
     pub report_lag: Duration,
 }
 
-/// An engine of the comparison: a small one, so that its memory is what is scarce.
+/// Returns the engine parameters of the comparison. The engine is small, so that its KV-cache
+/// memory is the bottleneck.
 #[must_use]
 pub fn engine_spec() -> EngineSpec {
     EngineSpec {
@@ -57,75 +59,81 @@
     }
 }
 
-/// Figures of one run.
+/// Measurements of one run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct RunFigures {
-    /// Policy.
+pub struct RunMetrics {
+    /// Name of the routing policy.
     pub policy: String,
-    /// Load, in percent of what the engines carry.
+    /// Load, in percent of the engines' capacity.
     pub load_percent: u32,
-    /// Seed.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Requests.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Refused.
+    /// Requests refused before the first token.
     pub refused: usize,
-    /// Failed after the first token.
+    /// Requests that failed in any other way.
     pub failed: usize,
-    /// Stall time per stream, summed, in milliseconds.
+    /// Sum of the stall times of all streams, in milliseconds.
     pub stall_sum_ms: u64,
-    /// Stall time per stream, 99 in 100, in milliseconds.
+    /// 99th percentile of the stall time per stream, in milliseconds.
     pub stall_p99_ms: u64,
-    /// Preemptions per 1,000 generations started.
+    /// Preemptions per 1,000 started generations.
     pub preemptions_per_1000: f64,
-    /// Time between tokens, 99 in 100, in microseconds.
+    /// 99th percentile of the time between tokens, in microseconds.
     pub gap_p99_us: u64,
-    /// Time between tokens, 99.9 in 100, in microseconds.
+    /// 99.9th percentile of the time between tokens, in microseconds.
     pub gap_p999_us: u64,
-    /// Time to the first token, 95 in 100, in milliseconds.
+    /// 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms: u64,
-    /// Tokens of whole streams a second, within the arrivals' time.
+    /// Tokens per second of completed streams, counted while requests arrive.
     pub useful_tokens_per_s: f64,
-    /// Time between tokens of the accounts other than the first, 99 in 100, in microseconds.
-    pub others_gap_p99_us: u64,
-    /// Time to the first token of the accounts other than the first, 99 in 100, in milliseconds.
-    pub others_first_token_p99_ms: u64,
-    /// Time between tokens of the first account, 99 in 100, in microseconds.
-    pub first_gap_p99_us: u64,
-    /// Time to the first token of the first account, 99 in 100, in milliseconds.
-    pub first_first_token_p99_ms: u64,
+    /// 99th percentile of the time between tokens for all accounts but the first, in microseconds.
+    #[serde(rename = "others_gap_p99_us")]
+    pub other_accounts_gap_p99_us: u64,
+    /// 99th percentile of the time to the first token for all accounts but the first, in
+    /// milliseconds.
+    #[serde(rename = "others_first_token_p99_ms")]
+    pub other_accounts_first_token_p99_ms: u64,
+    /// 99th percentile of the time between tokens for the first account, in microseconds.
+    #[serde(rename = "first_gap_p99_us")]
+    pub first_account_gap_p99_us: u64,
+    /// 99th percentile of the time to the first token for the first account, in milliseconds.
+    #[serde(rename = "first_first_token_p99_ms")]
+    pub first_account_first_token_p99_ms: u64,
 }
 
-/// Runs the whole comparison; `progress` is told each run's figures.
+/// Runs the whole comparison and calls `progress` with the metrics of each run as it ends.
 ///
 /// # Errors
-/// A run cannot be set up.
+/// Fails if a run cannot be set up or its metrics cannot be computed.
 pub async fn run(
     options: &CompareOptions,
-    mut progress: impl FnMut(&RunFigures),
-) -> anyhow::Result<Vec<RunFigures>> {
-    let carried = carried_per_s(options.mix, &engine_spec());
+    mut progress: impl FnMut(&RunMetrics),
+) -> anyhow::Result<Vec<RunMetrics>> {
+    let capacity_per_s = engine_capacity_per_s(options.mix, &engine_spec());
     let engines = f64::from(u32::try_from(options.engines)?);
-    let mut figures = Vec::new();
+    let mut metrics = Vec::new();
     for &load_percent in &options.loads_percent {
-        let per_s = carried * engines * f64::from(load_percent) / 100.0;
+        let per_s = capacity_per_s * engines * f64::from(load_percent) / 100.0;
         for &seed in &options.seeds {
-            let arrivals = plan(options.mix, per_s, options.lasts, seed);
+            let arrivals = poisson_arrivals(options.mix, per_s, options.duration, seed);
             for policy in &options.policies {
-                let mut one = run_one(options, policy, &arrivals)
+                let mut run = run_policy(options, policy, &arrivals)
                     .await
                     .with_context(|| format!("policy {policy}"))?;
-                one.load_percent = load_percent;
-                one.seed = seed;
-                progress(&one);
-                figures.push(one);
+                run.load_percent = load_percent;
+                run.seed = seed;
+                progress(&run);
+                metrics.push(run);
             }
         }
     }
-    Ok(figures)
+    Ok(metrics)
 }
 
-struct Setup {
+/// The running processes of one comparison run.
+struct TestSite {
     engines: Vec<RunningEngine>,
     apps: Vec<App>,
 }
@@ -134,7 +142,9 @@
     format!("{}-key", ACCOUNTS[account])
 }
 
-fn objects(mix: Mix, engines: &[RunningEngine]) -> serde_json::Value {
+/// Builds the configuration: one hall, one model, and an account and a rule for each of
+/// [`ACCOUNTS`].
+fn config_objects(mix: Mix, engines: &[RunningEngine]) -> serde_json::Value {
     let mut objects = vec![
         serde_json::json!({"kind": "hall", "name": "h", "region": "r"}),
         serde_json::json!({"kind": "model", "name": MODEL, "version": "1", "weights_bytes": 1,
@@ -183,7 +193,7 @@
     Ok(running)
 }
 
-fn settings(index: usize, policy: &str) -> anyhow::Result<Settings> {
+fn entry_settings(index: usize, policy: &str) -> anyhow::Result<Settings> {
     let settings = serde_json::json!({
         "instance": format!("i{index}"), "hall": "h", "policy": policy,
         "caller_address": any_loopback_port(), "operator_address": any_loopback_port(),
@@ -194,76 +204,77 @@
     Ok(serde_json::from_value(settings)?)
 }
 
-async fn set_up(options: &CompareOptions, policy: &str) -> anyhow::Result<Setup> {
+async fn set_up(options: &CompareOptions, policy: &str) -> anyhow::Result<TestSite> {
     let core = Arc::new(PlatformCore::new(Arc::new(SystemClock::default())));
     let platform: Platform = log_service::embedded(core);
     let mut engines = Vec::new();
     for index in 0..options.engines {
         engines.push(start_engine(index, options.report_lag).await?);
     }
-    let objects = objects(options.mix, &engines).to_string();
-    let wanted = PublishWanted {
+    let objects = config_objects(options.mix, &engines).to_string();
+    let request = PublishRequest {
         objects: parse_objects("objects", &objects)?,
         deletes: Vec::new(),
         publisher: String::new(),
         publish_id: None,
         wait: Duration::from_secs(5),
     };
-    publish(&platform, &wanted).await;
+    publish(&platform, &request).await;
     let mut apps = Vec::new();
     for index in 0..options.entries {
-        apps.push(App::start_with(settings(index, policy)?, platform.clone()).await?);
+        apps.push(App::start_with(entry_settings(index, policy)?, platform.clone()).await?);
     }
-    // Heartbeats, reports and groups settle.
+    // Give heartbeats, load reports and engine groups time to converge.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    Ok(Setup { engines, apps })
+    Ok(TestSite { engines, apps })
 }
 
-async fn run_one(
+async fn run_policy(
     options: &CompareOptions,
     policy: &str,
-    arrivals: &[ArrivalPlan],
-) -> anyhow::Result<RunFigures> {
-    let setup = set_up(options, policy).await?;
+    arrivals: &[PlannedRequest],
+) -> anyhow::Result<RunMetrics> {
+    let site = set_up(options, policy).await?;
     let client = plain_client(Duration::from_secs(1))?;
     let keys: Vec<String> = (0..ACCOUNTS.len()).map(account_key).collect();
     let start = Instant::now();
     let mut streams = Vec::new();
     for (index, arrival) in arrivals.iter().enumerate() {
-        tokio::time::sleep_until(start + arrival.at).await;
-        let entry = &setup.apps[index % setup.apps.len()];
+        tokio::time::sleep_until(start + arrival.arrival_offset).await;
+        let entry = &site.apps[index % site.apps.len()];
         let target = Target::Entry {
             address: entry.addresses().caller.to_string(),
             keys: keys.clone(),
         };
-        let stream = drive(client.clone(), target, arrival.clone(), options.mix, start);
+        let stream = drive_stream(client.clone(), target, arrival.clone(), options.mix, start);
         streams.push(tokio::spawn(stream));
     }
-    let ended = futures::future::join_all(streams).await;
-    let measured: Vec<StreamMeasured> = ended.into_iter().filter_map(Result::ok).collect();
-    let preemptions: u64 = setup
+    let finished = futures::future::join_all(streams).await;
+    let measured: Vec<StreamMeasurement> = finished.into_iter().filter_map(Result::ok).collect();
+    let preemptions: u64 = site
         .engines
         .iter()
         .map(|running| running.engine.report_now().preemptions_total)
         .sum();
-    let figures = figures(policy, &measured, preemptions, options.lasts)?;
-    tear_down(setup).await;
-    Ok(figures)
+    let metrics = compute_metrics(policy, &measured, preemptions, options.duration)?;
+    tear_down(site).await;
+    Ok(metrics)
 }
 
-async fn tear_down(setup: Setup) {
-    let apps = setup.apps.into_iter().map(App::abort);
-    let engines = setup.engines.into_iter().map(RunningEngine::stop);
+async fn tear_down(site: TestSite) {
+    let apps = site.apps.into_iter().map(App::abort);
+    let engines = site.engines.into_iter().map(RunningEngine::stop);
     futures::join!(
         futures::future::join_all(apps),
         futures::future::join_all(engines)
     );
 }
 
+/// Latency samples of a set of streams.
 #[derive(Default)]
-struct Times {
-    gaps: Vec<u64>,
-    first: Vec<u64>,
+struct LatencySamples {
+    gaps_us: Vec<u64>,
+    first_token_ms: Vec<u64>,
 }
 
 fn quantile(values: &[u64], quantile: f64) -> anyhow::Result<u64> {
@@ -274,60 +285,69 @@
     Ok(histogram.value_at_quantile(quantile))
 }
 
-fn figures(
+fn compute_metrics(
     policy: &str,
-    measured: &[StreamMeasured],
+    measured: &[StreamMeasurement],
     preemptions: u64,
-    lasts: Duration,
-) -> anyhow::Result<RunFigures> {
-    let started: Vec<&StreamMeasured> = measured
+    duration: Duration,
+) -> anyhow::Result<RunMetrics> {
+    let started: Vec<&StreamMeasurement> = measured
         .iter()
-        .filter(|one| one.first_token.is_some())
+        .filter(|stream| stream.first_token.is_some())
         .collect();
-    let count = |end| measured.iter().filter(|one| one.end == end).count();
+    let count = |outcome| {
+        measured
+            .iter()
+            .filter(|stream| stream.outcome == outcome)
+            .count()
+    };
     let stalls: Vec<u64> = started
         .iter()
-        .map(|one| micros(one.stall()) / 1000)
+        .map(|stream| micros(stream.total_stall()) / 1000)
         .collect();
-    let mut all = Times::default();
-    let mut first = Times::default();
-    let mut others = Times::default();
-    for one in &started {
-        let of_account = if one.account == 0 {
-            &mut first
+    let mut all = LatencySamples::default();
+    let mut first_account = LatencySamples::default();
+    let mut other_accounts = LatencySamples::default();
+    for stream in &started {
+        let account_samples = if stream.account == 0 {
+            &mut first_account
         } else {
-            &mut others
+            &mut other_accounts
         };
-        for times in [&mut all, of_account] {
-            times.gaps.extend(one.gaps.iter().map(|gap| micros(*gap)));
-            times
-                .first
-                .extend(one.first_token.map(|time| micros(time) / 1000));
+        for samples in [&mut all, account_samples] {
+            samples
+                .gaps_us
+                .extend(stream.gaps.iter().map(|gap| micros(*gap)));
+            samples
+                .first_token_ms
+                .extend(stream.first_token.map(|time| micros(time) / 1000));
         }
     }
-    let useful = measured.iter().filter(|one| one.end == StreamEnd::Done);
-    let useful = useful
-        .flat_map(|one| &one.token_times)
-        .filter(|at| **at <= lasts);
-    let useful = f64::from(u32::try_from(useful.count())?);
-    let generations = f64::from(u32::try_from(started.len())?).max(1.0);
-    Ok(RunFigures {
+    let completed = measured
+        .iter()
+        .filter(|stream| stream.outcome == StreamOutcome::Done);
+    let useful_tokens = completed
+        .flat_map(|stream| &stream.token_times)
+        .filter(|at| **at <= duration);
+    let useful_tokens = f64::from(u32::try_from(useful_tokens.count())?);
+    let started_count = f64::from(u32::try_from(started.len())?).max(1.0);
+    Ok(RunMetrics {
         policy: policy.to_owned(),
         load_percent: 0,
         seed: 0,
         requests: measured.len(),
-        refused: count(StreamEnd::Refused),
-        failed: count(StreamEnd::Failed),
+        refused: count(StreamOutcome::Refused),
+        failed: count(StreamOutcome::Failed),
         stall_sum_ms: stalls.iter().sum(),
         stall_p99_ms: quantile(&stalls, 0.99)?,
-        preemptions_per_1000: f64::from(u32::try_from(preemptions)?) * 1000.0 / generations,
-        gap_p99_us: quantile(&all.gaps, 0.99)?,
-        gap_p999_us: quantile(&all.gaps, 0.999)?,
-        first_token_p95_ms: quantile(&all.first, 0.95)?,
-        useful_tokens_per_s: useful / lasts.as_secs_f64(),
-        others_gap_p99_us: quantile(&others.gaps, 0.99)?,
-        others_first_token_p99_ms: quantile(&others.first, 0.99)?,
-        first_gap_p99_us: quantile(&first.gaps, 0.99)?,
-        first_first_token_p99_ms: quantile(&first.first, 0.99)?,
+        preemptions_per_1000: f64::from(u32::try_from(preemptions)?) * 1000.0 / started_count,
+        gap_p99_us: quantile(&all.gaps_us, 0.99)?,
+        gap_p999_us: quantile(&all.gaps_us, 0.999)?,
+        first_token_p95_ms: quantile(&all.first_token_ms, 0.95)?,
+        useful_tokens_per_s: useful_tokens / duration.as_secs_f64(),
+        other_accounts_gap_p99_us: quantile(&other_accounts.gaps_us, 0.99)?,
+        other_accounts_first_token_p99_ms: quantile(&other_accounts.first_token_ms, 0.99)?,
+        first_account_gap_p99_us: quantile(&first_account.gaps_us, 0.99)?,
+        first_account_first_token_p99_ms: quantile(&first_account.first_token_ms, 0.99)?,
     })
 }
--- a/src/tool/load/mod.rs
+++ b/src/tool/load/mod.rs
@@ -1,4 +1,5 @@
-//! Load: drives engines directly and through larkwick, compares routing policies, and measures each stream.
+//! Load generator: sends streams to engines directly or through larkwick, measures each stream, and
+//! compares routing policies.
 
 pub mod arrivals;
 pub mod compare;
--- a/src/tool/load/overhead.rs
+++ b/src/tool/load/overhead.rs
@@ -1,4 +1,5 @@
-//! What larkwick adds: the same engine driven directly and through an entry, turn by turn in one run.
+//! Measures the latency that larkwick adds: drives the same engine directly and through an entry,
+//! in alternating rounds of one run.
 
 use std::time::Duration;
 
@@ -7,67 +8,67 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use super::arrivals::{ArrivalPlan, Mix};
-use super::stream::{StreamEnd, StreamMeasured, Target, drive};
+use super::arrivals::{Mix, PlannedRequest};
+use super::stream::{StreamMeasurement, StreamOutcome, Target, drive_stream};
 use crate::endpoint::plain_client;
 
-const TURNS: u32 = 6;
+const ROUNDS: u32 = 6;
 
-/// What to drive.
+/// The addresses and the load of an overhead measurement.
 #[derive(Debug, Clone)]
 pub struct OverheadOptions {
-    /// The engine.
+    /// Address of the engine.
     pub engine: String,
-    /// The entry.
+    /// Address of the entry for callers.
     pub entry: String,
-    /// Operators' address of the entry, for its memory.
+    /// Operator address of the entry, used to read its memory usage.
     pub operator: String,
     /// Bearer key.
     pub key: String,
-    /// Streams open at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream.
+    /// Number of tokens per stream.
     pub tokens: u32,
 }
 
-/// Times of one way, in microseconds.
+/// Latencies of one path to the engine, in microseconds.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct WayTimes {
-    /// Time to the first token, median.
+pub struct PathLatency {
+    /// Median time to the first token.
     pub first_token_p50_us: u64,
-    /// Time to the first token, 99 in 100.
+    /// 99th percentile of the time to the first token.
     pub first_token_p99_us: u64,
-    /// Between tokens, median.
+    /// Median time between tokens.
     pub gap_p50_us: u64,
-    /// Between tokens, 99 in 100.
+    /// 99th percentile of the time between tokens.
     pub gap_p99_us: u64,
-    /// Streams that were refused.
+    /// Number of streams refused before the first token.
     pub refused: usize,
-    /// Streams that began and did not end whole.
+    /// Number of streams that failed in any other way.
     pub failed: usize,
 }
 
-/// The comparison.
+/// Latencies with and without larkwick.
 #[derive(Debug, Clone, Serialize)]
 pub struct Overhead {
-    /// Streams open at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream.
+    /// Number of tokens per stream.
     pub tokens: u32,
-    /// Directly.
-    pub direct: WayTimes,
-    /// Through the entry.
-    pub through: WayTimes,
-    /// Memory of the entry with the streams open, in bytes.
+    /// Latencies when the engine is called directly.
+    pub direct: PathLatency,
+    /// Latencies through the entry.
+    pub through: PathLatency,
+    /// Resident memory of the entry while the streams are open, in bytes.
     pub memory_open_bytes: u64,
 }
 
-/// Runs the comparison.
+/// Runs the measurement.
 ///
 /// # Errors
-/// Engine or entry cannot be reached.
+/// Fails if the engine or the entry cannot be reached.
 pub async fn run(options: &OverheadOptions) -> anyhow::Result<Overhead> {
-    let load = super::super::instance::get(&options.engine, "/v1/load").await?;
+    let load = super::super::instance::get_json(&options.engine, "/v1/load").await?;
     let version = load["models"][0]["version"]
         .as_str()
         .unwrap_or("1")
@@ -80,85 +81,92 @@
         address: options.entry.clone(),
         keys: vec![options.key.clone()],
     };
-    let mut measured: [Vec<StreamMeasured>; 2] = [Vec::new(), Vec::new()];
+    let mut measured: [Vec<StreamMeasurement>; 2] = [Vec::new(), Vec::new()];
     let mut memory_open_bytes = 0;
-    for turn in 0..TURNS {
-        // Which way goes first changes from turn to turn.
-        for way in [turn % 2, 1 - turn % 2] {
-            let target = if way == 0 { &direct } else { &through };
-            let streams = tokio::spawn(open_streams(options.clone(), target.clone()));
-            if way == 1 {
+    for round in 0..ROUNDS {
+        // Alternate which path goes first, so that neither gains from the order.
+        for path in [round % 2, 1 - round % 2] {
+            let target = if path == 0 { &direct } else { &through };
+            let streams = tokio::spawn(drive_streams(options.clone(), target.clone()));
+            if path == 1 {
                 tokio::time::sleep(Duration::from_millis(u64::from(options.tokens))).await;
-                memory_open_bytes = memory_open_bytes.max(memory_of(&options.operator).await?);
+                memory_open_bytes =
+                    memory_open_bytes.max(read_resident_memory(&options.operator).await?);
             }
-            measured[way as usize].extend(streams.await.context("streams")?);
+            measured[path as usize].extend(streams.await.context("streams")?);
         }
     }
     let [direct, through] = measured;
     Ok(Overhead {
         streams: options.streams,
         tokens: options.tokens,
-        direct: way_times(&direct)?,
-        through: way_times(&through)?,
+        direct: path_latency(&direct)?,
+        through: path_latency(&through)?,
         memory_open_bytes,
     })
 }
 
-async fn memory_of(operator: &str) -> anyhow::Result<u64> {
-    let state = super::super::instance::get(operator, "/debug/state").await?;
+async fn read_resident_memory(operator: &str) -> anyhow::Result<u64> {
+    let state = super::super::instance::get_json(operator, "/debug/state").await?;
     let bytes = state["memory_resident_bytes"].as_u64();
-    bytes.context("the dump names no memory")
+    bytes.context("field `memory_resident_bytes` is missing in the state dump")
 }
 
-async fn open_streams(options: OverheadOptions, target: Target) -> Vec<StreamMeasured> {
+async fn drive_streams(options: OverheadOptions, target: Target) -> Vec<StreamMeasurement> {
     let Ok(client) = plain_client(Duration::from_secs(1)) else {
         return Vec::new();
     };
     let start = Instant::now();
     let streams = (0..options.streams).map(|index| {
-        let arrival = ArrivalPlan {
-            at: Duration::ZERO,
+        let arrival = PlannedRequest {
+            arrival_offset: Duration::ZERO,
             account: 0,
             prompt_tokens: 20,
             length_tokens: options.tokens,
             seed: index as u64,
         };
         let (client, target) = (client.clone(), target.clone());
-        // Spread over a step or two, so that the starts do not queue behind each other.
-        let offset = Duration::from_micros(200 * index as u64);
+        // Stagger the starts over one or two engine steps, so that they do not queue behind each
+        // other.
+        let delay = Duration::from_micros(200 * index as u64);
         async move {
-            tokio::time::sleep(offset).await;
-            drive(client, target, arrival, Mix::General, start).await
+            tokio::time::sleep(delay).await;
+            drive_stream(client, target, arrival, Mix::General, start).await
         }
     });
     let running: Vec<_> = streams.map(tokio::spawn).collect();
-    let ended = futures::future::join_all(running).await;
-    ended.into_iter().filter_map(Result::ok).collect()
+    let finished = futures::future::join_all(running).await;
+    finished.into_iter().filter_map(Result::ok).collect()
 }
 
-fn way_times(streams: &[StreamMeasured]) -> anyhow::Result<WayTimes> {
-    let count = |end| streams.iter().filter(|one| one.end == end).count();
-    let mut first: Histogram<u64> = Histogram::new(3)?;
-    let mut gaps: Histogram<u64> = Histogram::new(3)?;
+fn path_latency(streams: &[StreamMeasurement]) -> anyhow::Result<PathLatency> {
+    let count = |outcome| {
+        streams
+            .iter()
+            .filter(|stream| stream.outcome == outcome)
+            .count()
+    };
+    let mut first_token_us: Histogram<u64> = Histogram::new(3)?;
+    let mut gaps_us: Histogram<u64> = Histogram::new(3)?;
     for stream in streams {
         if let Some(time) = stream.first_token {
-            first.record(micros(time))?;
+            first_token_us.record(micros(time))?;
         }
         for gap in &stream.gaps {
-            gaps.record(micros(*gap))?;
+            gaps_us.record(micros(*gap))?;
         }
     }
-    Ok(WayTimes {
-        first_token_p50_us: first.value_at_quantile(0.5),
-        first_token_p99_us: first.value_at_quantile(0.99),
-        gap_p50_us: gaps.value_at_quantile(0.5),
-        gap_p99_us: gaps.value_at_quantile(0.99),
-        refused: count(StreamEnd::Refused),
-        failed: count(StreamEnd::Failed),
+    Ok(PathLatency {
+        first_token_p50_us: first_token_us.value_at_quantile(0.5),
+        first_token_p99_us: first_token_us.value_at_quantile(0.99),
+        gap_p50_us: gaps_us.value_at_quantile(0.5),
+        gap_p99_us: gaps_us.value_at_quantile(0.99),
+        refused: count(StreamOutcome::Refused),
+        failed: count(StreamOutcome::Failed),
     })
 }
 
-/// Whole microseconds, saturating.
+/// Converts a duration to whole microseconds, saturating at `u64::MAX`.
 #[must_use]
 pub fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
--- a/src/tool/load/stream.rs
+++ b/src/tool/load/stream.rs
@@ -1,4 +1,4 @@
-//! One stream, driven and measured: through an entry or from an engine directly.
+//! Sends one request through an entry or to an engine directly, and measures its stream.
 
 use std::time::Duration;
 
@@ -9,91 +9,93 @@
 use tokio_util::io::StreamReader;
 use uuid::Uuid;
 
-use super::arrivals::{ACCOUNTS, ArrivalPlan, Mix};
+use super::arrivals::{ACCOUNTS, Mix, PlannedRequest};
 use crate::endpoint::protocol::GenerationRequest;
 
-/// A gap between tokens longer than this counts as a stall, in full.
-pub const STALL_AFTER: Duration = Duration::from_millis(200);
-/// Model of the runs.
+/// A gap between tokens that is longer than this counts as a stall, with its full length.
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(200);
+/// Name of the model used in comparison runs.
 pub const MODEL: &str = "m";
+/// Maximum length of a line in a response stream.
 const LINE_MAX_BYTES: usize = 1 << 20;
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum StreamEnd {
-    /// Whole.
+pub enum StreamOutcome {
+    /// The stream completed.
     Done,
-    /// Refused before the first token.
+    /// The request was refused before the first token.
     Refused,
-    /// Ended in an error or was cut.
+    /// The stream ended with an error or was cut off, or the request could not be sent.
     Failed,
 }
 
-/// What was measured of a stream.
+/// Measurements of one stream.
 #[derive(Debug, Clone)]
-pub struct StreamMeasured {
-    /// Index of its account.
+pub struct StreamMeasurement {
+    /// Index of the client account in [`ACCOUNTS`].
     pub account: usize,
-    /// Time to the first token.
+    /// Time from sending the request to the first token, if one arrived.
     pub first_token: Option<Duration>,
-    /// Gaps between tokens.
+    /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// Tokens, with the time each came, from the run's start.
+    /// Arrival time of each token, from the start of the run.
     pub token_times: Vec<Duration>,
-    /// How it ended.
-    pub end: StreamEnd,
+    /// How the stream ended.
+    pub outcome: StreamOutcome,
 }
 
-impl StreamMeasured {
-    /// Time without progress after the first token.
+impl StreamMeasurement {
+    /// Returns the sum of all gaps that count as stalls.
     #[must_use]
-    pub fn stall(&self) -> Duration {
-        self.gaps.iter().filter(|gap| **gap > STALL_AFTER).sum()
+    pub fn total_stall(&self) -> Duration {
+        self.gaps.iter().filter(|gap| **gap > STALL_THRESHOLD).sum()
     }
 }
 
-/// Where to send a stream's request.
+/// The destination of a request.
 #[derive(Debug, Clone)]
 pub enum Target {
     /// Through an entry.
     Entry {
-        /// Callers' address.
+        /// Address of the entry for callers.
         address: String,
-        /// Bearer keys by account.
+        /// Bearer keys, by index of the account.
         keys: Vec<String>,
     },
-    /// To an engine directly.
+    /// Directly to an engine.
     Engine {
-        /// Address of the endpoint protocol.
+        /// Address at which the engine serves the endpoint protocol.
         address: String,
-        /// Version of the model.
+        /// Version of the model to request.
         version: String,
     },
 }
 
-/// A prompt of the wanted size that tells the stand-in engine its output's length.
+/// Builds a prompt of the planned size. Its `#length=` prefix tells the stand-in engine how many
+/// tokens to generate.
 #[must_use]
-pub fn prompt(arrival: &ArrivalPlan) -> String {
+pub fn build_prompt(arrival: &PlannedRequest) -> String {
     const BYTES_PER_TOKEN: usize = 4;
     let mut prompt = format!("#length={} seed {} ", arrival.length_tokens, arrival.seed);
-    let wanted = arrival.prompt_tokens as usize * BYTES_PER_TOKEN;
-    while prompt.len() < wanted {
+    let prompt_bytes = arrival.prompt_tokens as usize * BYTES_PER_TOKEN;
+    while prompt.len() < prompt_bytes {
         prompt.push('x');
     }
     prompt
 }
 
-/// The same request in the engine's own protocol.
+/// Builds the request in the endpoint protocol of engines.
 #[must_use]
-pub fn generation_request(arrival: &ArrivalPlan, mix: Mix) -> GenerationRequest {
+pub fn generation_request(arrival: &PlannedRequest, mix: Mix) -> GenerationRequest {
     GenerationRequest {
         request_id: Uuid::new_v4(),
         attempt_id: Uuid::new_v4(),
         account: ACCOUNTS[arrival.account].to_owned(),
         model: MODEL.to_owned(),
         version: "1".to_owned(),
-        prompt: prompt(arrival),
+        prompt: build_prompt(arrival),
         prefix: arrival.seed,
         max_tokens: super::arrivals::LENGTH_MAX_TOKENS,
         seed: arrival.seed,
@@ -101,41 +103,41 @@
     }
 }
 
-enum Line {
+enum StreamLine {
     Token,
     Done,
     Failed,
     Other,
 }
 
-fn entry_line(line: &str) -> Line {
+fn parse_entry_line(line: &str) -> StreamLine {
     if line.starts_with("id:") {
-        Line::Token
+        StreamLine::Token
     } else if line == "data:[DONE]" {
-        Line::Done
+        StreamLine::Done
     } else if line.starts_with("event:") {
-        Line::Failed
+        StreamLine::Failed
     } else {
-        Line::Other
+        StreamLine::Other
     }
 }
 
-fn engine_line(line: &str) -> Line {
+fn parse_engine_line(line: &str) -> StreamLine {
     if line.starts_with(r#"{"type":"token""#) {
-        Line::Token
+        StreamLine::Token
     } else if line.starts_with(r#"{"type":"done""#) {
-        Line::Done
+        StreamLine::Done
     } else if line.starts_with(r#"{"type":"failed""#) {
-        Line::Failed
+        StreamLine::Failed
     } else {
-        Line::Other
+        StreamLine::Other
     }
 }
 
-fn request(
+fn build_request(
     client: &reqwest::Client,
     target: &Target,
-    arrival: &ArrivalPlan,
+    arrival: &PlannedRequest,
     mix: Mix,
 ) -> reqwest::RequestBuilder {
     match target {
@@ -143,7 +145,7 @@
             .post(format!("http://{address}/v1/completions"))
             .bearer_auth(&keys[arrival.account])
             .json(&serde_json::json!({
-                "model": MODEL, "prompt": prompt(arrival), "stream": true, "seed": arrival.seed,
+                "model": MODEL, "prompt": build_prompt(arrival), "stream": true, "seed": arrival.seed,
                 "max_tokens": super::arrivals::LENGTH_MAX_TOKENS,
             })),
         Target::Engine { address, version } => {
@@ -156,56 +158,56 @@
     }
 }
 
-/// Drives one stream to its end.
-pub async fn drive(
+/// Sends the request of `arrival` and measures its stream until it ends.
+pub async fn drive_stream(
     client: reqwest::Client,
     target: Target,
-    arrival: ArrivalPlan,
+    arrival: PlannedRequest,
     mix: Mix,
     run_start: Instant,
-) -> StreamMeasured {
-    let began = Instant::now();
-    let mut measured = StreamMeasured {
+) -> StreamMeasurement {
+    let sent_at = Instant::now();
+    let mut measured = StreamMeasurement {
         account: arrival.account,
         first_token: None,
         gaps: Vec::new(),
         token_times: Vec::new(),
-        end: StreamEnd::Failed,
+        outcome: StreamOutcome::Failed,
     };
-    let sent = request(&client, &target, &arrival, mix).send().await;
-    let response = match sent {
+    let result = build_request(&client, &target, &arrival, mix).send().await;
+    let response = match result {
         Err(_) => return measured,
         Ok(response) if !response.status().is_success() => {
-            measured.end = StreamEnd::Refused;
+            measured.outcome = StreamOutcome::Refused;
             return measured;
         }
         Ok(response) => response,
     };
-    let parse = match target {
-        Target::Entry { .. } => entry_line,
-        Target::Engine { .. } => engine_line,
+    let parse_line = match target {
+        Target::Entry { .. } => parse_entry_line,
+        Target::Engine { .. } => parse_engine_line,
     };
     let bytes = response.bytes_stream().map_err(std::io::Error::other);
     let codec = LinesCodec::new_with_max_length(LINE_MAX_BYTES);
     let mut lines = FramedRead::new(StreamReader::new(bytes), codec);
-    let mut last = None;
+    let mut last_token_at = None;
     while let Some(Ok(line)) = lines.next().await {
-        match parse(&line) {
-            Line::Token => {
+        match parse_line(&line) {
+            StreamLine::Token => {
                 let now = Instant::now();
-                match last {
-                    None => measured.first_token = Some(now - began),
-                    Some(last) => measured.gaps.push(now - last),
+                match last_token_at {
+                    None => measured.first_token = Some(now - sent_at),
+                    Some(last_token_at) => measured.gaps.push(now - last_token_at),
                 }
-                last = Some(now);
+                last_token_at = Some(now);
                 measured.token_times.push(now - run_start);
             }
-            Line::Done => {
-                measured.end = StreamEnd::Done;
+            StreamLine::Done => {
+                measured.outcome = StreamOutcome::Done;
                 break;
             }
-            Line::Failed => break,
-            Line::Other => {}
+            StreamLine::Failed => break,
+            StreamLine::Other => {}
         }
     }
     measured
--- a/src/tool/load/table.rs
+++ b/src/tool/load/table.rs
@@ -1,27 +1,28 @@
-//! Tables of a comparison: median and range over the seeds.
+//! Formats a comparison as a table of medians and ranges over the seeds.
 
 use std::fmt::Write;
 
-use super::compare::RunFigures;
+use super::compare::RunMetrics;
 
-/// A measure of the comparison.
+/// A measure by which the policies are compared.
 pub struct Measure {
-    /// Heading.
+    /// Column heading, with the unit.
     pub name: &'static str,
-    /// Its value in a run.
-    pub value: fn(&RunFigures) -> f64,
+    /// Returns the value of the measure in one run.
+    pub value: fn(&RunMetrics) -> f64,
 }
 
-/// A count as a float; exact below 2^53.
-fn float(count: u64) -> f64 {
+/// Converts a count to a float; exact below 2^53.
+fn count_as_f64(count: u64) -> f64 {
     crate::kernel::policy::tokens_as_f64(count)
 }
 
-/// The measures, in the order of the columns. The first three are the users' own.
+/// Measures in the order of the columns. The first three are the primary ones, which users notice
+/// directly.
 pub const MEASURES: [Measure; 9] = [
     Measure {
         name: "stall p99, ms",
-        value: |run| float(run.stall_p99_ms),
+        value: |run| count_as_f64(run.stall_p99_ms),
     },
     Measure {
         name: "preemptions per 1,000",
@@ -29,19 +30,19 @@
     },
     Measure {
         name: "between tokens p99, ms",
-        value: |run| float(run.gap_p99_us) / 1000.0,
+        value: |run| count_as_f64(run.gap_p99_us) / 1000.0,
     },
     Measure {
         name: "between tokens p99.9, ms",
-        value: |run| float(run.gap_p999_us) / 1000.0,
+        value: |run| count_as_f64(run.gap_p999_us) / 1000.0,
     },
     Measure {
         name: "stall sum, s",
-        value: |run| float(run.stall_sum_ms) / 1000.0,
+        value: |run| count_as_f64(run.stall_sum_ms) / 1000.0,
     },
     Measure {
         name: "first token p95, ms",
-        value: |run| float(run.first_token_p95_ms),
+        value: |run| count_as_f64(run.first_token_p95_ms),
     },
     Measure {
         name: "useful tokens/s",
@@ -49,55 +50,57 @@
     },
     Measure {
         name: "refused, %",
-        value: |run| 100.0 * float(run.refused as u64) / float(run.requests.max(1) as u64),
+        value: |run| {
+            100.0 * count_as_f64(run.refused as u64) / count_as_f64(run.requests.max(1) as u64)
+        },
     },
     Measure {
         name: "failed",
-        value: |run| float(run.failed as u64),
+        value: |run| count_as_f64(run.failed as u64),
     },
 ];
 
-/// Median and range of a measure over seeds.
+/// Median and range of a measure over the seeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OverSeeds {
+pub struct SeedSummary {
     /// Median.
     pub median: f64,
-    /// Lowest.
+    /// Lowest value.
     pub low: f64,
-    /// Highest.
+    /// Highest value.
     pub high: f64,
 }
 
-/// Runs of one policy at one load.
+/// Returns the runs of one policy at one load.
 #[must_use]
-pub fn runs_of<'a>(
-    figures: &'a [RunFigures],
+pub fn filter_runs<'a>(
+    metrics: &'a [RunMetrics],
     policy: &str,
     load_percent: u32,
-) -> Vec<&'a RunFigures> {
-    let its = |run: &&RunFigures| run.policy == policy && run.load_percent == load_percent;
-    figures.iter().filter(its).collect()
+) -> Vec<&'a RunMetrics> {
+    let is_selected = |run: &&RunMetrics| run.policy == policy && run.load_percent == load_percent;
+    metrics.iter().filter(is_selected).collect()
 }
 
-/// Median and range of a measure.
+/// Computes the median and range of a measure; all NaN if there are no runs.
 #[must_use]
-pub fn over_seeds(runs: &[&RunFigures], value: fn(&RunFigures) -> f64) -> OverSeeds {
+pub fn summarize_seeds(runs: &[&RunMetrics], value: fn(&RunMetrics) -> f64) -> SeedSummary {
     let mut values: Vec<f64> = runs.iter().map(|run| value(run)).collect();
     values.sort_by(f64::total_cmp);
     let at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
-    OverSeeds {
+    SeedSummary {
         median: at(values.len() / 2),
         low: at(0),
         high: at(values.len().saturating_sub(1)),
     }
 }
 
-/// Policies and loads, each once, in the order of the runs.
+/// Returns the distinct policies and loads in the order of the runs.
 #[must_use]
-pub fn policies_and_loads(figures: &[RunFigures]) -> (Vec<&str>, Vec<u32>) {
+pub fn policies_and_loads(metrics: &[RunMetrics]) -> (Vec<&str>, Vec<u32>) {
     let mut policies = Vec::new();
     let mut loads = Vec::new();
-    for run in figures {
+    for run in metrics {
         if !policies.contains(&run.policy.as_str()) {
             policies.push(run.policy.as_str());
         }
@@ -108,23 +111,23 @@
     (policies, loads)
 }
 
-/// The table in Markdown: median (lowest to highest over the seeds).
+/// Renders a Markdown table with the cells `median (lowest–highest)` over the seeds.
 #[must_use]
-pub fn render(figures: &[RunFigures]) -> String {
-    let (policies, loads) = policies_and_loads(figures);
+pub fn render_markdown(metrics: &[RunMetrics]) -> String {
+    let (policies, loads) = policies_and_loads(metrics);
     let names: Vec<&str> = MEASURES.iter().map(|measure| measure.name).collect();
     let mut table = format!("| load, % | policy | {} |\n", names.join(" | "));
     let _ = writeln!(table, "|---:|---|{}", "---:|".repeat(MEASURES.len()));
     for load in loads {
         for policy in &policies {
-            let runs = runs_of(figures, policy, load);
+            let runs = filter_runs(metrics, policy, load);
             let _ = write!(table, "| {load} | {policy} |");
             for measure in &MEASURES {
-                let over = over_seeds(&runs, measure.value);
+                let summary = summarize_seeds(&runs, measure.value);
                 let _ = write!(
                     table,
                     " {:.1} ({:.1}–{:.1}) |",
-                    over.median, over.low, over.high
+                    summary.median, summary.low, summary.high
                 );
             }
             table.push('\n');
--- a/src/tool/publish.rs
+++ b/src/tool/publish.rs
@@ -1,4 +1,5 @@
-//! Publishes objects: appends once, then reads the log until the verdict is known.
+//! Publishes configuration objects: appends one record to the log, then reads the log until the
+//! verdict on that record is known.
 
 use std::time::Duration;
 
@@ -6,156 +7,163 @@
 use tokio::time::Instant;
 use uuid::Uuid;
 
-use super::config::{LOOK_EVERY, catch_up, read_fold};
+use super::config::{LOG_POLL_INTERVAL, catch_up, read_config};
 use crate::kernel::config::{
     Change, ChangeAction, ConfigState, ConfigStateMachine, Publish, Record, Verdict,
 };
 use crate::kernel::object::{Object, ObjectKey};
 use crate::log_service::{CONFIG_STREAM, Platform, PlatformError};
 
-const APPEND_TRIES: u32 = 5;
-const APPEND_PAUSE: Duration = Duration::from_millis(300);
+const APPEND_ATTEMPTS_MAX: u32 = 5;
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What an operator wants published.
+/// The objects to publish and how to publish them.
 #[derive(Debug, Clone)]
-pub struct PublishWanted {
+pub struct PublishRequest {
     /// Objects to create or replace.
     pub objects: Vec<Object>,
     /// Objects to delete.
     pub deletes: Vec<ObjectKey>,
-    /// Who publishes, for the history.
+    /// Name of the publisher, recorded in the history.
     pub publisher: String,
-    /// The id of an earlier try whose outcome is unknown, to try again safely.
+    /// Id of an earlier attempt whose outcome is unknown. Repeating the id makes the retry
+    /// idempotent.
     pub publish_id: Option<Uuid>,
-    /// How long to wait for the verdict.
+    /// Maximum time to wait for the verdict.
     pub wait: Duration,
 }
 
-/// What became of a publish.
+/// The outcome of a publish.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum Published {
-    /// In force.
+pub enum PublishOutcome {
+    /// The changes are in force.
     Accepted {
         /// Id of the publish.
         publish_id: Uuid,
-        /// Its offset.
+        /// Offset of the record in the log.
         offset: u64,
     },
-    /// Everything was in force already; nothing was appended.
+    /// All changes were in force already; no record was appended.
     NothingToChange,
-    /// Not in force.
+    /// The record was appended and rejected; the changes are not in force.
     Rejected {
         /// Id of the publish.
         publish_id: Uuid,
-        /// Why.
+        /// Reason for the rejection.
         verdict: Verdict,
     },
-    /// Nothing was appended.
+    /// No record was appended.
     NotPublished {
-        /// Why.
-        why: String,
+        /// Reason why nothing was appended.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// It may yet come into force; try again with this id.
+    /// No verdict was seen in time. The changes may still come into force; retry with the same id.
     Unknown {
         /// Id of the publish.
         publish_id: Uuid,
     },
 }
 
-fn changes(state: &ConfigState, wanted: &PublishWanted) -> Vec<Change> {
-    let puts = wanted.objects.iter().filter_map(|object| {
-        let held = state.objects.get(&object.key());
-        let same = held.is_some_and(|held| held.object == *object);
-        (!same).then(|| Change {
+/// Returns the changes that turn the current configuration into the requested one. Objects that are
+/// already in force are left out.
+fn diff_changes(state: &ConfigState, request: &PublishRequest) -> Vec<Change> {
+    let puts = request.objects.iter().filter_map(|object| {
+        let stored = state.objects.get(&object.key());
+        let is_unchanged = stored.is_some_and(|stored| stored.object == *object);
+        (!is_unchanged).then(|| Change {
             seen_revision: state.revision(&object.key()),
             action: ChangeAction::Put {
                 object: Box::new(object.clone()),
             },
         })
     });
-    let deletes = wanted.deletes.iter().map(|key| Change {
+    let deletes = request.deletes.iter().map(|key| Change {
         seen_revision: state.revision(key),
         action: ChangeAction::Delete { key: key.clone() },
     });
     puts.chain(deletes).collect()
 }
 
-/// Publishes and waits for the verdict.
-pub async fn publish(platform: &Platform, wanted: &PublishWanted) -> Published {
-    let fold = match read_fold(platform).await {
-        Ok(fold) => fold,
+/// Publishes the request and waits for the verdict.
+pub async fn publish(platform: &Platform, request: &PublishRequest) -> PublishOutcome {
+    let config = match read_config(platform).await {
+        Ok(config) => config,
         Err(error) => {
-            return Published::NotPublished {
-                why: error.to_string(),
+            return PublishOutcome::NotPublished {
+                reason: error.to_string(),
             };
         }
     };
-    let publish_id = wanted.publish_id.unwrap_or_else(Uuid::new_v4);
-    if let Some(known) = verdict_of(fold.state(), publish_id) {
-        return known;
+    let publish_id = request.publish_id.unwrap_or_else(Uuid::new_v4);
+    if let Some(outcome) = find_outcome(config.state(), publish_id) {
+        return outcome;
     }
-    let changes = changes(fold.state(), wanted);
+    let changes = diff_changes(config.state(), request);
     if changes.is_empty() {
-        return Published::NothingToChange;
+        return PublishOutcome::NothingToChange;
     }
     let record = Record::Publish(Publish {
         publish_id,
-        base_offset: fold.state().next_offset,
-        publisher: wanted.publisher.clone(),
+        base_offset: config.state().next_offset,
+        publisher: request.publisher.clone(),
         changes,
     });
     match append(platform, &record).await {
-        Err(PlatformError::Refused(why)) => Published::NotPublished { why },
-        // A lost reply is resolved by reading.
+        Err(PlatformError::Refused(reason)) => PublishOutcome::NotPublished { reason },
+        // If the reply was lost, the log shows whether the record was appended.
         Ok(()) | Err(PlatformError::NoAnswer(_)) => {
-            await_verdict(platform, fold, publish_id, wanted.wait).await
+            wait_for_verdict(platform, config, publish_id, request.wait).await
         }
     }
 }
 
+/// Appends a record, and retries if the platform refuses it. A missing reply is not retried: the
+/// record may be in the log already.
 async fn append(platform: &Platform, record: &Record) -> Result<(), PlatformError> {
     let record =
         serde_json::to_value(record).map_err(|error| PlatformError::Refused(error.to_string()))?;
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         match platform.log.append(CONFIG_STREAM, record.clone()).await {
             Ok(_) => return Ok(()),
-            Err(PlatformError::Refused(_)) if tries < APPEND_TRIES => {
-                tries += 1;
-                tokio::time::sleep(APPEND_PAUSE).await;
+            Err(PlatformError::Refused(_)) if attempts < APPEND_ATTEMPTS_MAX => {
+                attempts += 1;
+                tokio::time::sleep(APPEND_RETRY_DELAY).await;
             }
             Err(error) => return Err(error),
         }
     }
 }
 
-async fn await_verdict(
+async fn wait_for_verdict(
     platform: &Platform,
-    mut fold: ConfigStateMachine,
+    mut config: ConfigStateMachine,
     publish_id: Uuid,
     wait: Duration,
-) -> Published {
-    let give_up = Instant::now() + wait;
-    while Instant::now() < give_up {
-        // A failed read is tried again until the wait is over.
-        let _ = catch_up(platform, &mut fold).await;
-        if let Some(known) = verdict_of(fold.state(), publish_id) {
-            return known;
+) -> PublishOutcome {
+    let deadline = Instant::now() + wait;
+    while Instant::now() < deadline {
+        // A failed read is retried until the deadline.
+        let _ = catch_up(platform, &mut config).await;
+        if let Some(outcome) = find_outcome(config.state(), publish_id) {
+            return outcome;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(LOG_POLL_INTERVAL).await;
     }
-    Published::Unknown { publish_id }
+    PublishOutcome::Unknown { publish_id }
 }
 
-fn verdict_of(state: &ConfigState, publish_id: Uuid) -> Option<Published> {
-    let decided = state.decided.get(&publish_id)?;
-    Some(match &decided.verdict {
-        Verdict::Accepted => Published::Accepted {
+/// Returns the outcome of a publish if the log up to this state contains its verdict.
+fn find_outcome(state: &ConfigState, publish_id: Uuid) -> Option<PublishOutcome> {
+    let decision = state.decided.get(&publish_id)?;
+    Some(match &decision.verdict {
+        Verdict::Accepted => PublishOutcome::Accepted {
             publish_id,
-            offset: decided.offset,
+            offset: decision.offset,
         },
-        verdict => Published::Rejected {
+        verdict => PublishOutcome::Rejected {
             publish_id,
             verdict: verdict.clone(),
         },
