--- a/src/tool/instance.rs
+++ b/src/tool/instance.rs
@@ -11,7 +11,7 @@
     let url = format!("http://{address}{path}");
     let response = reqwest::get(&url)
         .await
-        .with_context(|| format!("cannot connect to {address}; check the address"))?;
+        .with_context(|| format!("cannot reach {address}; check the address"))?;
     Ok(response.error_for_status()?.json().await?)
 }
 
@@ -23,7 +23,7 @@
     let url = format!("http://{operator_address}/drain");
     let response = reqwest::Client::new().post(url).send().await;
     response
-        .with_context(|| format!("cannot connect to {operator_address}"))?
+        .with_context(|| format!("cannot reach {operator_address}"))?
         .error_for_status()?;
     Ok(())
 }
@@ -36,7 +36,7 @@
 pub async fn release_suspect(operator_address: &str, fingerprint: &str) -> anyhow::Result<()> {
     let url = format!("http://{operator_address}/suspects/{fingerprint}/let-go");
     let response = reqwest::Client::new().post(url).send().await;
-    let response = response.with_context(|| format!("cannot connect to {operator_address}"))?;
+    let response = response.with_context(|| format!("cannot reach {operator_address}"))?;
     match response.status() {
         reqwest::StatusCode::NOT_FOUND => {
             anyhow::bail!(
