--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -264,7 +264,7 @@
         SiteRecord::Member(entry) => apply_member(gateway, entry),
         SiteRecord::Suspect(stored) => gateway.merge_stored_suspect(&stored),
         SiteRecord::SuspectGone(fingerprint) => {
-            gateway.suspects.lock().mark_not_stored(fingerprint)
+            gateway.suspects.lock().mark_not_stored(fingerprint);
         }
         SiteRecord::HallOrder(order) => gateway.order_hall(&order),
         SiteRecord::EvacuatedHalls(halls) => gateway.take_halls(&halls, "store"),
