--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -43,7 +43,7 @@
     let of_this_incarnation = report.filter(|report| {
         report.born_ms.is_none() || engine.born_ms.is_none() || report.born_ms == engine.born_ms
     });
-    if of_this_incarnation.is_some_and(|report| report.leaving) {
+    if of_this_incarnation.is_some_and(|report| report.draining) {
         gateway.words.told_leaving(&engine.id, "report");
     }
 }
@@ -69,7 +69,8 @@
 }
 
 async fn fetch_report(gateway: &Gateway, engine: &EndpointEntry) -> Result<EngineReport, String> {
-    let request = engine::report_request(engine.address).map_err(|error| error.to_string())?;
+    let request =
+        engine::build_report_request(engine.address).map_err(|error| error.to_string())?;
     metrics::counter!("larkwick_engine_reports_total").increment(1);
     let permit = gateway.permit(&engine.service, &engine.id).await;
     let permit = permit.ok_or("the engine takes no more for now")?;
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -64,7 +64,7 @@
         Ok(started) => relay::forward_response(call, started),
         Err(error) => {
             record_generation_end(&call, &format!("{:?}", error.kind), &error.message, 0, 0);
-            ingress::refusal(&error).map(full_body)
+            ingress::error_response(&error).map(full_body)
         }
     }
 }
@@ -498,9 +498,9 @@
         continue_from: None,
         last_event_id,
     };
-    let request = engine::forward(&call.parts, call.body.clone(), &send).map_err(|error| {
-        AttemptFailure::Fatal(Error::new(ErrorKind::BadRequest, error.to_string()))
-    })?;
+    let request = engine::build_forwarded_request(&call.parts, call.body.clone(), &send).map_err(
+        |error| AttemptFailure::Fatal(Error::new(ErrorKind::BadRequest, error.to_string())),
+    )?;
     let sent_at = gateway.now();
     let sending = connection.send(request, permit);
     let response_future = await_response_head(call, &run_guard.run, last_event_id, sending);
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -131,7 +131,7 @@
     }
     let addresses = gateway.caller_addresses(directory::ADDRESSES_MAX);
     if addresses.is_empty() {
-        return ingress::refusal(&gateway.not_ready_error()).map(full_body);
+        return ingress::error_response(&gateway.not_ready_error()).map(full_body);
     }
     let valid = gateway.routing.read().directory_valid();
     let mut response = Response::new(full_body(directory::encode(&addresses, valid)));
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -11,7 +11,7 @@
 use crate::kernel::engine_ledger::MoveResult;
 use crate::kernel::fleet::EndpointEntry;
 use crate::peer::generated as wire;
-use crate::platform::engine::{self, Copied};
+use crate::platform::engine::{self, CopyOutcome};
 
 /// Longest wait for a copy; copying all of a generation's memory between halls takes half of it.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -49,7 +49,7 @@
     }
     let counted = order.target_counted;
     match copy_memory(gateway, &run, &source, &target, false).await {
-        Ok(Copied::Done(_)) => {}
+        Ok(CopyOutcome::Done(_)) => {}
         other => return copy_failure(other),
     }
     let gateway = gateway.clone();
@@ -94,16 +94,16 @@
         counted,
     };
     match copy_memory(gateway, run, source, target, true).await? {
-        Copied::Done(copy) => Ok(continue_at(target, copy, counted)),
+        CopyOutcome::Done(copy) => Ok(continue_at(target, copy, counted)),
         // The generation was stopped and its engine still has its memory, so it continues there.
-        Copied::NoRoom(Some(kept)) => Ok(continue_at(source, kept, false)),
+        CopyOutcome::NoRoom(Some(kept)) => Ok(continue_at(source, kept, false)),
         other => Err(format!("{other:?}")),
     }
 }
 
-fn copy_failure(copied: Result<Copied, String>) -> (MoveResult, String) {
+fn copy_failure(copied: Result<CopyOutcome, String>) -> (MoveResult, String) {
     match copied {
-        Ok(Copied::NoRoom(_)) => (MoveResult::NoRoom, "no room".to_owned()),
+        Ok(CopyOutcome::NoRoom(_)) => (MoveResult::NoRoom, "no room".to_owned()),
         Ok(other) => (MoveResult::Failed, format!("{other:?}")),
         Err(reason) => (MoveResult::Failed, reason),
     }
@@ -121,11 +121,11 @@
     source: &EndpointEntry,
     target: &EndpointEntry,
     stop: bool,
-) -> Result<Copied, String> {
+) -> Result<CopyOutcome, String> {
     if !gateway.try_admit_exempt(&source.id) {
         return Err("the engine rests".to_owned());
     }
-    let request = engine::move_request(source.address, &run.demand.run, target.address, stop)
+    let request = engine::build_move_request(source.address, &run.demand.run, target.address, stop)
         .map_err(|error| error.to_string())?;
     let call = async {
         let permit = gateway.permit_soon(&source.service, &source.id).await;
@@ -133,7 +133,7 @@
         let upstream = &gateway.upstream;
         let response = upstream.send_control_request(source, request, RESPONSE_MAX_BYTES, permit);
         let (status, body) = response.await?;
-        Ok(engine::decode_moved(status, &body))
+        Ok(engine::decode_copy_outcome(status, &body))
     };
     tokio::time::timeout(COPY_TIMEOUT, call)
         .await
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -102,7 +102,7 @@
             (into_response(answer), format!("answered {status}"))
         }
         Err(error) => {
-            let response = ingress::refusal(&error).map(full_body);
+            let response = ingress::error_response(&error).map(full_body);
             (response, format!("{:?}", error.kind))
         }
     };
@@ -126,7 +126,7 @@
 fn into_response(answer: BufferedResponse) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.parts.status;
-    *response.headers_mut() = engine::answer_headers(&answer.parts);
+    *response.headers_mut() = engine::caller_response_headers(&answer.parts);
     response
 }
 
@@ -371,7 +371,7 @@
         continue_from: None,
         last_event_id: None,
     };
-    let request = match engine::forward(&call.parts, call.body.clone(), &send) {
+    let request = match engine::build_forwarded_request(&call.parts, call.body.clone(), &send) {
         Ok(request) => request,
         Err(error) => return Attempt::NotRun(error.to_string()),
     };
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -91,7 +91,7 @@
     let parts = &started.source.response.parts;
     let mut response = Response::new(());
     *response.status_mut() = parts.status;
-    *response.headers_mut() = engine::answer_headers(parts);
+    *response.headers_mut() = engine::caller_response_headers(parts);
     let service = call.table.service(&call.service);
     let event_tokens = service
         .and_then(|service| service.engine)
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -61,7 +61,7 @@
         },
         Err(refused) => {
             log_refusal(&gateway, &refused, arrived);
-            ingress::refusal(&refused.error).map(full_body)
+            ingress::error_response(&refused.error).map(full_body)
         }
     };
     let mut response = response;
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -48,7 +48,7 @@
     };
     let request_id = &call.head.request_id;
     if report
-        .made(request_id)
+        .generated_events(request_id)
         .is_some_and(|made| made > received_events)
     {
         ReportedState::AheadOfStream
@@ -177,7 +177,7 @@
         }),
         last_event_id: Some(last_event_id.unwrap_or("0")),
     };
-    let request = engine::forward(&call.parts, call.body.clone(), &send);
+    let request = engine::build_forwarded_request(&call.parts, call.body.clone(), &send);
     let request = request.map_err(|error| error.to_string())?;
     let response = connection.send(request, permit).await;
     let response = response.map_err(|failure| failure.to_string())?;
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -465,7 +465,7 @@
             }
         })?;
         let (parts, body) = response.into_parts();
-        let head = engine::decode_answer(&parts);
+        let head = engine::decode_response_head(&parts);
         // All responses of endpoints pass here, so their endpoint signals are recorded whatever was
         // requested. If each caller of `send` read them, signals would be lost.
         signals.take(&self.open_guard.endpoint, &head, sent_at);
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! The question where to connect, and its answer.
+//! Response to the query for the addresses to connect to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// Most addresses that an answer may hold.
+/// Maximum number of addresses in a response.
 pub const ADDRESSES_MAX: usize = 64;
 
 #[derive(Serialize)]
-struct WireAnswer<'a> {
+struct WireAddresses<'a> {
     addrs: &'a [SocketAddr],
     #[serde(rename = "ttl-s")]
     valid_s: f64,
 }
 
-/// Encodes an answer: the addresses, and how long callers may keep them.
+/// Encodes a response: the addresses, and the time for which callers may cache them.
 #[must_use]
 pub fn encode(addresses: &[SocketAddr], valid: Duration) -> Bytes {
-    let answer = WireAnswer {
+    let response = WireAddresses {
         addrs: addresses,
         valid_s: valid.as_secs_f64(),
     };
-    // Addresses and a number always encode.
-    Bytes::from(serde_json::to_vec(&answer).unwrap_or_default())
+    // Serializing addresses and a number cannot fail.
+    Bytes::from(serde_json::to_vec(&response).unwrap_or_default())
 }
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,4 +1,5 @@
-//! What endpoints get and what they answer.
+//! Encodes requests to endpoints and decodes their responses, including the status reports and copy
+//! orders of engines.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
 use http::{HeaderMap, Method, Request, StatusCode, response};
 use serde::{Deserialize, Serialize};
 
-use super::{names, unknown};
+use super::{names, unknown_names};
 use crate::gateway::message_heads::{EndpointRequestHead, ResponseHead};
 use crate::kernel::endpoint_signals::EndpointSignals;
 use crate::kernel::limit::LimitSignal;
@@ -21,8 +22,8 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that belong to one connection.
-const PER_CONNECTION: [HeaderName; 9] = [
+/// Headers that apply to a single connection and are not forwarded (hop-by-hop headers).
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -34,21 +35,23 @@
     CONTENT_LENGTH,
 ];
 
-/// Headers of an endpoint's answer that are read, or left aside: the id of who answers is told by a 421 without its service, and how cold an endpoint
-/// is stands in its entry.
-const OF_ANSWERS: [HeaderName; 9] = [
+/// Known headers of an endpoint's response. Some are ignored on purpose: a 421 names the id of the
+/// endpoint that responds but not its service, and the remaining warm-up time of an endpoint is
+/// taken from its entry.
+const KNOWN_RESPONSE_HEADERS: [HeaderName; 9] = [
     names::REQUEST_ID,
-    names::SEAL,
+    names::RESPONSE_SEAL,
     names::NOT_RUN,
     names::ENDPOINT_ID,
-    names::LEAVING,
-    names::LIMIT,
+    names::DRAINING,
+    names::RATE_LIMIT,
     RETRY_AFTER,
     names::COLD_MS,
     names::VERSIONS,
 ];
 
-/// Drops what belongs to one connection, also what the `Connection` header names, but never a header that the request depends on.
+/// Removes hop-by-hop headers, including those that the `Connection` header names, but never a
+/// header that the request depends on.
 fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -58,47 +61,48 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name: &HeaderName| !name.as_str().starts_with("larkwick-") && name != HOST)
         .collect();
-    for name in named.iter().chain(&PER_CONNECTION) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-fn header(value: &str) -> HeaderValue {
-    // Values are ids, addresses and numbers; one that is no header value would be refused as empty by the endpoint.
+fn header_value(value: &str) -> HeaderValue {
+    // Values are ids, addresses and numbers. An invalid one is sent as empty, which the endpoint
+    // refuses.
     HeaderValue::from_str(value).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-/// The request for an endpoint: the caller's own, but for what larkwick sets.
+/// Builds the request to an endpoint: the caller's request with the headers that larkwick sets.
 ///
 /// # Errors
-/// The caller's request cannot be sent on as it is.
-pub fn forward(
+/// Returns an error if the caller's request cannot be forwarded as it is.
+pub fn build_forwarded_request(
     parts: &Parts,
     body: Bytes,
-    send: &EndpointRequestHead<'_>,
+    head: &EndpointRequestHead<'_>,
 ) -> http::Result<Request<Bytes>> {
     let mut headers = parts.headers.clone();
     strip_connection_headers(&mut headers);
-    for name in &names::SET_BY_US {
+    for name in &names::RESERVED_HEADERS {
         headers.remove(name);
     }
-    headers.insert(names::EXPECTED_ENDPOINT, header(send.endpoint_id));
+    headers.insert(names::EXPECTED_ENDPOINT, header_value(head.endpoint_id));
     headers.insert(
         names::DEADLINE_MS,
-        HeaderValue::from(millis(send.time_left)),
+        HeaderValue::from(millis(head.time_left)),
     );
-    if let Some(account) = send.account {
-        headers.insert(names::ACCOUNT, header(account));
+    if let Some(account) = head.account {
+        headers.insert(names::ACCOUNT, header_value(account));
     }
-    if let Some(priority) = send.priority {
+    if let Some(priority) = head.priority {
         headers.insert(names::PRIORITY, HeaderValue::from(u16::from(priority)));
     }
-    if let Some(from) = &send.continue_from {
+    if let Some(from) = &head.continue_from {
         let source = format!("{}/{}", from.copy_address, from.copy);
-        headers.insert(names::CONTINUE_FROM, header(&source));
+        headers.insert(names::CONTINUE_FROM, header_value(&source));
     }
-    if let Some(id) = send.last_event_id {
-        headers.insert(names::LAST_EVENT_ID, header(id));
+    if let Some(id) = head.last_event_id {
+        headers.insert(names::LAST_EVENT_ID, header_value(id));
     }
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", http::uri::PathAndQuery::as_str);
@@ -114,58 +118,59 @@
     crate::kernel::clock::millis(time)
 }
 
-/// Reads the head of an endpoint's answer.
+/// Decodes the head of an endpoint's response.
 #[must_use]
-pub fn decode_answer(parts: &response::Parts) -> ResponseHead {
+pub fn decode_response_head(parts: &response::Parts) -> ResponseHead {
     let headers = &parts.headers;
-    unknown::note_headers("endpoint's header", headers, &OF_ANSWERS);
+    unknown_names::record_unknown_headers("endpoint's header", headers, &KNOWN_RESPONSE_HEADERS);
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
     let not_run = headers.contains_key(names::NOT_RUN) || misdirected;
     ResponseHead {
         status: parts.status.as_u16(),
         request_id: text(&names::REQUEST_ID).map(str::to_owned),
-        sealed: headers.contains_key(names::SEAL),
+        sealed: headers.contains_key(names::RESPONSE_SEAL),
         not_run,
         misdirected,
         encoded: headers.contains_key(CONTENT_ENCODING),
-        closes: connection_closes(headers),
-        idle_timeout: kept_for(headers),
-        signals: decode_word(parts.status, headers),
+        closes: has_connection_close(headers),
+        idle_timeout: keep_alive_timeout(headers),
+        signals: decode_signals(parts.status, headers),
     }
 }
 
-/// Reads what an endpoint says of itself, whatever it answers.
-fn decode_word(status: StatusCode, headers: &HeaderMap) -> EndpointSignals {
+/// Decodes the endpoint signals, which do not depend on the request that the response is for.
+fn decode_signals(status: StatusCode, headers: &HeaderMap) -> EndpointSignals {
     EndpointSignals {
-        draining: says_leaving(headers),
-        cooldown: rest_asked(status, headers),
-        limit: limit_named(headers),
+        draining: is_draining(headers),
+        cooldown: requested_cooldown(status, headers),
+        limit: rate_limit(headers),
     }
 }
 
-/// For how long an endpoint that turns a request away asks us to send it nothing. With other answers the same header is for the caller. Of several
-/// values the longest counts.
-fn rest_asked(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
+/// Returns the cooldown that an endpoint asks for when it refuses a request. With any other status,
+/// the header is meant for the caller. The longest of several values applies.
+fn requested_cooldown(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
     let values = headers.get_all(RETRY_AFTER).iter();
-    let rests = values.filter_map(|value| {
-        let rest = value.to_str().ok().and_then(seconds);
-        if rest.is_none() {
-            unknown::note(
+    let cooldowns = values.filter_map(|value| {
+        let cooldown = value.to_str().ok().and_then(parse_seconds);
+        if cooldown.is_none() {
+            unknown_names::record_unknown(
                 "value of retry-after",
                 &String::from_utf8_lossy(value.as_bytes()),
             );
         }
-        rest
+        cooldown
     });
-    rests.max()
+    cooldowns.max()
 }
 
-/// A time in seconds, fractions included; the longest one there is where it fits no clock.
-fn seconds(text: &str) -> Option<Duration> {
+/// Parses a number of seconds, which may be a fraction. Returns the longest duration if it is too
+/// large.
+fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     if seconds.is_nan() || seconds < 0.0 {
         return None;
@@ -173,27 +178,31 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-fn says_leaving(headers: &HeaderMap) -> bool {
-    let values = headers.get_all(names::LEAVING).iter();
-    let mut leaving = false;
+fn is_draining(headers: &HeaderMap) -> bool {
+    let values = headers.get_all(names::DRAINING).iter();
+    let mut draining = false;
     for value in values {
         match value.as_bytes().trim_ascii() {
-            b"1" => leaving = true,
+            b"1" => draining = true,
             b"0" => {}
-            other => unknown::note("value of server-leaving", &String::from_utf8_lossy(other)),
+            other => unknown_names::record_unknown(
+                "value of server-leaving",
+                &String::from_utf8_lossy(other),
+            ),
         }
     }
-    leaving
+    draining
 }
 
-/// Requests a second that an endpoint takes from all instances together. Of several values the lowest counts.
-fn limit_named(headers: &HeaderMap) -> LimitSignal {
+/// Returns the rate limit that an endpoint sets for all instances together. The lowest of several
+/// values applies.
+fn rate_limit(headers: &HeaderMap) -> LimitSignal {
     let mut limit = LimitSignal::Absent;
-    for value in headers.get_all(names::LIMIT) {
-        let per_s = value.to_str().ok().and_then(decimal);
+    for value in headers.get_all(names::RATE_LIMIT) {
+        let per_s = value.to_str().ok().and_then(parse_non_negative);
         if per_s.is_none() {
             let text = String::from_utf8_lossy(value.as_bytes());
-            unknown::note("value of server-limit", &text);
+            unknown_names::record_unknown("value of server-limit", &text);
         }
         limit = match (limit, per_s) {
             (LimitSignal::PerS(known), Some(per_s)) => LimitSignal::PerS(known.min(per_s)),
@@ -205,34 +214,33 @@
     limit
 }
 
-/// A decimal number that is not negative.
-fn decimal(text: &str) -> Option<f64> {
+fn parse_non_negative(text: &str) -> Option<f64> {
     let number: f64 = text.trim().parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-fn connection_closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
-    let mut words = values.filter_map(|value| value.to_str().ok());
-    words.any(|value| value.to_ascii_lowercase().contains("close"))
+    let mut values = values.filter_map(|value| value.to_str().ok());
+    values.any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// Seconds that an endpoint keeps an idle connection.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the time for which an endpoint keeps an idle connection open, if it announces one.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut fields = value.split(',').map(str::trim);
     let seconds = fields.find_map(|field| field.strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// The head of the answer to the caller: the endpoint's own, but for what it says to us of itself: that it leaves, how much it takes, and for
-/// how long we are to leave it alone.
+/// Returns the headers of the response to the caller: those of the endpoint without hop-by-hop
+/// headers and without its signals to larkwick (draining, rate limit and cooldown).
 #[must_use]
-pub fn answer_headers(parts: &response::Parts) -> HeaderMap {
+pub fn caller_response_headers(parts: &response::Parts) -> HeaderMap {
     let mut headers = parts.headers.clone();
     strip_connection_headers(&mut headers);
-    headers.remove(names::LEAVING);
-    headers.remove(names::LIMIT);
+    headers.remove(names::DRAINING);
+    headers.remove(names::RATE_LIMIT);
     if parts.status == StatusCode::SERVICE_UNAVAILABLE {
         headers.remove(RETRY_AFTER);
     }
@@ -241,45 +249,47 @@
 
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-struct WireMove<'a> {
+struct WireCopyOrder<'a> {
     id: &'a str,
-    /// The wire says version; it is the address of the engine that gets the copy.
+    /// Address of the engine that receives the copy, despite the name of the field.
     target_version: String,
     last: bool,
 }
 
 #[derive(Deserialize)]
-struct WireMoved {
-    /// Names the copy.
+struct WireCopyResult {
+    /// Name of the copy.
     handle: Option<serde_json::Value>,
 }
 
-/// What became of an order to copy a running generation's memory.
+/// Outcome of an order to copy the KV memory of a running generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Copied {
-    /// The copy is whole as of now; its name.
+pub enum CopyOutcome {
+    /// The copy is complete as of now; contains its name.
     Done(String),
-    /// The engine does not run this generation (any more).
+    /// The engine does not run this generation, or no longer does.
     NotRunning,
-    /// Another copy of it is under way.
+    /// Another copy of this generation is in progress.
     Busy,
-    /// No room or no way there. Where the run was stopped for it, the name of what the source keeps.
+    /// The target has no capacity or is unreachable. If the generation was stopped for the copy,
+    /// contains the name of the copy that the source keeps.
     NoRoom(Option<String>),
-    /// An answer that cannot be read.
+    /// The response cannot be decoded; contains the reason.
     Unreadable(String),
 }
 
-/// The order to copy a running generation's memory; with `stop` the run stops first.
+/// Builds the order to copy the KV memory of a running generation. With `stop`, the generation is
+/// stopped first.
 ///
 /// # Errors
-/// The request cannot be built.
-pub fn move_request(
+/// Returns an error if the request cannot be built.
+pub fn build_move_request(
     source: SocketAddr,
     run: &str,
     target: SocketAddr,
     stop: bool,
 ) -> http::Result<Request<Bytes>> {
-    let order = WireMove {
+    let order = WireCopyOrder {
         id: run,
         target_version: target.to_string(),
         last: stop,
@@ -293,73 +303,76 @@
         .body(Bytes::from(body))
 }
 
-/// Reads the answer to [`move_request`].
+/// Decodes the response to [`build_move_request`].
 #[must_use]
-pub fn decode_moved(status: u16, body: &[u8]) -> Copied {
-    let moved: Option<WireMoved> = serde_json::from_slice(body).ok();
-    let handle = moved
-        .and_then(|moved| moved.handle)
+pub fn decode_copy_outcome(status: u16, body: &[u8]) -> CopyOutcome {
+    let result: Option<WireCopyResult> = serde_json::from_slice(body).ok();
+    let handle = result
+        .and_then(|result| result.handle)
         .map(|handle| match handle {
             serde_json::Value::String(text) => text,
             other => other.to_string(),
         });
     match (status, handle) {
-        (200, Some(handle)) => Copied::Done(handle),
-        (404, _) => Copied::NotRunning,
-        (409, _) => Copied::Busy,
-        (503, handle) => Copied::NoRoom(handle),
-        (status, _) => Copied::Unreadable(format!("status {status}")),
+        (200, Some(handle)) => CopyOutcome::Done(handle),
+        (404, _) => CopyOutcome::NotRunning,
+        (409, _) => CopyOutcome::Busy,
+        (503, handle) => CopyOutcome::NoRoom(handle),
+        (status, _) => CopyOutcome::Unreadable(format!("status {status}")),
     }
 }
 
 #[derive(Deserialize)]
 struct WireReport {
-    /// `ready`, or `draining` before a planned end.
+    /// `ready`, or `draining` before a planned stop.
     #[serde(default)]
     state: String,
-    /// Milliseconds until the end, where it is known.
+    /// Milliseconds until the planned stop, if known.
     leaves_ms: Option<f64>,
-    /// Unix milliseconds of its start.
+    /// Start time, in milliseconds since the Unix epoch.
     born: Option<u64>,
-    /// Requests that wait; nothing where it does not say.
+    /// Number of queued requests; `None` if not reported.
     queued: Option<f64>,
-    /// Each one a list: its request, tokens in memory, events made, priority.
+    /// Running generations, each one a list: request id, tokens in memory, events generated,
+    /// priority.
     #[serde(default)]
     runs: Vec<serde_json::Value>,
 }
 
-/// What an engine says of itself, half a second late.
+/// Status report of an engine. It is half a second old when it arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Whether it is leaving.
-    pub leaving: bool,
-    /// When it started, where it tells.
+    /// Whether the engine is draining.
+    pub draining: bool,
+    /// Start time, in milliseconds since the Unix epoch, if reported.
     pub born_ms: Option<u64>,
-    /// Whether no request waits at it, as far as it says.
-    nobody_waits: bool,
-    /// Events that its generations have made, by request.
-    runs: HashMap<String, u64>,
+    /// Whether the engine reported that it has no queued requests.
+    is_queue_empty: bool,
+    /// Number of events generated so far, by request id.
+    events_by_run: HashMap<String, u64>,
 }
 
 impl EngineReport {
-    /// Events that a generation has made; nothing where the engine does not run it.
+    /// Returns the number of events that a generation has produced so far, or `None` if the engine
+    /// does not run it.
     #[must_use]
-    pub fn made(&self, request_id: &str) -> Option<u64> {
-        self.runs.get(request_id).copied()
+    pub fn generated_events(&self, request_id: &str) -> Option<u64> {
+        self.events_by_run.get(request_id).copied()
     }
 
-    /// Whether it has nothing to do with a generation any more: it neither runs it nor may it wait there for memory.
+    /// Returns whether the engine no longer has a generation: it does not run it, and the
+    /// generation cannot be queued there for memory.
     #[must_use]
     pub fn is_done_with(&self, request_id: &str) -> bool {
-        self.nobody_waits && !self.runs.contains_key(request_id)
+        self.is_queue_empty && !self.events_by_run.contains_key(request_id)
     }
 }
 
-/// The question for an engine's report.
+/// Builds the request for an engine's report.
 ///
 /// # Errors
-/// The request cannot be built.
-pub fn report_request(engine: SocketAddr) -> http::Result<Request<Bytes>> {
+/// Returns an error if the request cannot be built.
+pub fn build_report_request(engine: SocketAddr) -> http::Result<Request<Bytes>> {
     Request::builder()
         .method(Method::GET)
         .uri(names::REPORT_PATH)
@@ -367,21 +380,21 @@
         .body(Bytes::new())
 }
 
-/// Reads an engine's report.
+/// Decodes an engine's report.
 ///
 /// # Errors
-/// The text is not a report.
+/// Returns an error if the text is not a report.
 pub fn decode_report(text: &[u8]) -> Result<EngineReport, String> {
     let wire: WireReport = serde_json::from_slice(text).map_err(|error| error.to_string())?;
-    // What an engine says of its end must be read, whatever its generations look like.
-    let runs = wire.runs.iter().filter_map(|run| {
-        let (request, made) = (run.get(0)?.as_str()?, run.get(2)?.as_u64()?);
-        Some((request.to_owned(), made))
+    // Malformed generations are skipped, so that the announcement of a planned stop is always read.
+    let events_by_run = wire.runs.iter().filter_map(|run| {
+        let (request_id, events) = (run.get(0)?.as_str()?, run.get(2)?.as_u64()?);
+        Some((request_id.to_owned(), events))
     });
     Ok(EngineReport {
-        leaving: wire.state == "draining" || wire.leaves_ms.is_some(),
+        draining: wire.state == "draining" || wire.leaves_ms.is_some(),
         born_ms: wire.born,
-        nobody_waits: wire.queued.is_some_and(|queued| queued <= 0.0),
-        runs: runs.collect(),
+        is_queue_empty: wire.queued.is_some_and(|queued| queued <= 0.0),
+        events_by_run: events_by_run.collect(),
     })
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,21 +1,22 @@
-//! The adapter to the users' platform: its names, formats and calls, decoded once into larkwick's own types. It decides nothing.
+//! Adapter to the users' platform: decodes its names, formats and calls into larkwick's own types
+//! in one place. It makes no decisions.
 //!
 //! | file | subject |
 //! |---|---|
 //! | `names` | header names and paths |
-//! | `store` | the platform's log, as a client |
+//! | `store` | client of the platform's log |
 //! | `operator_config` | the operator's configuration |
-//! | `servers` | the endpoints' entries |
-//! | `ingress` | what callers send and get |
-//! | `directory` | the question where to connect |
-//! | `engine` | what endpoints get and answer |
-//! | `unknown` | what the platform says and the adapter does not know |
+//! | `endpoint_entries` | entries that endpoints write about themselves |
+//! | `ingress` | requests of callers, and error responses to them |
+//! | `directory` | response to the query for addresses to connect to |
+//! | `engine` | requests to endpoints and their responses |
+//! | `unknown_names` | logs and counts names that the adapter does not know |
 
 pub mod directory;
+pub mod endpoint_entries;
 pub mod engine;
 pub mod ingress;
 pub mod names;
 pub mod operator_config;
-pub mod servers;
 pub mod store;
-mod unknown;
+mod unknown_names;
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,4 +1,4 @@
-//! Header names and paths on the platform's wire.
+//! Header names and paths of the platform's protocols.
 
 use http::HeaderName;
 
@@ -9,85 +9,86 @@
 }
 
 headers! {
-    /// Names one attempt of a caller; echoed by endpoints.
+    /// Identifies one attempt of a caller; endpoints echo it.
     REQUEST_ID = "larkwick-request-id";
-    /// Milliseconds that the caller, or larkwick towards an endpoint, will wait.
+    /// Time that the caller, or larkwick as the client of an endpoint, waits, in milliseconds.
     DEADLINE_MS = "larkwick-deadline-ms";
-    /// Parts of the prompt in order.
-    PROMPT_PARTS = "larkwick-prompt-prefix";
-    /// Id of the last event that the reader has.
+    /// Segments of the prompt, in order.
+    PROMPT_SEGMENTS = "larkwick-prompt-prefix";
+    /// Id of the last event that the reader received.
     LAST_EVENT_ID = "last-event-id";
-    /// Proof that an answer is an endpoint's own.
-    SEAL = "larkwick-response-seal";
-    /// The client account, set by larkwick.
+    /// Proves that the endpoint itself sent the response.
+    RESPONSE_SEAL = "larkwick-response-seal";
+    /// Client account; set by larkwick.
     ACCOUNT = "larkwick-tenant";
-    /// The start of an endpoint that alone may run the request.
+    /// The only endpoint incarnation that may run the request.
     EXPECTED_ENDPOINT = "larkwick-expect-instance";
-    /// An endpoint's word that it did not run the request.
+    /// Set by an endpoint that did not run the request.
     NOT_RUN = "larkwick-not-executed";
-    /// The start of the endpoint that answers.
+    /// Incarnation of the endpoint that sent the response.
     ENDPOINT_ID = "larkwick-instance-id";
-    /// How much longer the endpoint that answers is cold.
+    /// Remaining warm-up time of the endpoint that sent the response, in milliseconds.
     COLD_MS = "larkwick-cold-ms";
-    /// An endpoint's word that it is leaving, in each of its answers.
-    LEAVING = "server-leaving";
-    /// Requests a second that an endpoint in need takes from all instances together, in each of its answers.
-    LIMIT = "server-limit";
-    /// How often the store has come back from an older copy.
+    /// Set by a draining endpoint in each of its responses.
+    DRAINING = "server-leaving";
+    /// Requests per second that an endpoint with a rate limit accepts from all instances together;
+    /// set in each of its responses.
+    RATE_LIMIT = "server-limit";
+    /// Number of times that the store has been restored from an older copy.
     STORE_ERA = "store-era";
-    /// Version of the weights that answer.
+    /// Version of the model weights that produced the response.
     VERSIONS = "versions";
     /// Model of a generation.
     MODEL = "larkwick-model";
-    /// Tokens of the prompt, and the most that may be made.
-    TOKENS = "larkwick-token-count";
-    /// The caller's guess of the tokens to be made.
+    /// Number of prompt tokens, and the maximum number of tokens to generate.
+    TOKEN_COUNTS = "larkwick-token-count";
+    /// Caller's estimate of the number of tokens to be generated.
     LENGTH_HINT = "length-hint";
-    /// The caller's key.
-    KEY = "api-key";
-    /// Rank at an engine.
+    /// Caller's API key.
+    API_KEY = "api-key";
+    /// Priority at an engine.
     PRIORITY = "priority";
-    /// Version of the weights that an engine must have.
+    /// Version of the model weights that an engine must have loaded.
     EXPECTED_VERSION = "expect-version";
-    /// A reservation at an engine.
-    HOLD = "hold";
-    /// How long an engine keeps a prompt.
+    /// Reservation at an engine.
+    RESERVATION = "hold";
+    /// Time for which an engine keeps a prompt, in milliseconds.
     PIN_MS = "pin-ms";
-    /// Engine to take cached memory from.
-    FETCH_FROM = "kv-fetch";
-    /// Copy from which a moved generation goes on.
+    /// Engine from which to fetch the cached KV memory.
+    KV_FETCH_FROM = "kv-fetch";
+    /// KV-cache copy from which a moved generation continues.
     CONTINUE_FROM = "kv-from";
-    /// Engine that gets a copy of the memory as it grows; larkwick asks for none.
-    BACKUP_AT = "kv-backup";
+    /// Engine that receives a copy of the KV memory as it grows. Larkwick never requests one.
+    KV_BACKUP_AT = "kv-backup";
 }
 
-/// Headers that only larkwick may set: what a caller sends under these names is dropped.
-pub const SET_BY_US: [HeaderName; 11] = [
+/// Headers that only larkwick may set. They are removed from the requests of callers.
+pub const RESERVED_HEADERS: [HeaderName; 11] = [
     ACCOUNT,
     EXPECTED_ENDPOINT,
     PRIORITY,
     EXPECTED_VERSION,
-    HOLD,
+    RESERVATION,
     PIN_MS,
-    FETCH_FROM,
+    KV_FETCH_FROM,
     CONTINUE_FROM,
-    BACKUP_AT,
-    KEY,
+    KV_BACKUP_AT,
+    API_KEY,
     DEADLINE_MS,
 ];
 
-/// Path of the question whether an instance takes callers.
+/// Path of the readiness check: whether an instance accepts callers.
 pub const READY_PATH: &str = "/larkwick/readyz";
-/// Path of the question where to connect.
+/// Path of the query for the addresses to connect to.
 pub const RESOLVE_PATH: &str = "/larkwick/resolve";
-/// Path at an engine of its report.
+/// Path of the status report of an engine.
 pub const REPORT_PATH: &str = "/larkwick/report";
-/// Path at an engine that copies a running generation's memory.
+/// Path at an engine that copies the KV memory of a running generation.
 pub const MOVE_PATH: &str = "/larkwick/kv-move";
 
-/// Path at the store to add records.
+/// Path at the store for appending records.
 pub const STORE_APPEND_PATH: &str = "/larkwick/log-append";
-/// Path at the store to read records.
+/// Path at the store for reading records.
 pub const STORE_READ_PATH: &str = "/larkwick/log-read";
-/// Path at the store for the newest record of each key.
+/// Path at the store for reading the newest record of each key.
 pub const STORE_NEWEST_PATH: &str = "/larkwick/log-newest";
--- a/src/platform/operator_config.rs
+++ b/src/platform/operator_config.rs
@@ -1,27 +1,29 @@
-//! The operator's configuration, as the platform writes it.
+//! Decodes the operator's configuration from the platform's format.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde::Deserialize;
 
-use super::unknown;
+use super::unknown_names;
 use crate::kernel::cold_start::ColdStart;
 use crate::kernel::route::{
     CallKind, CallLimits, DEFAULT_PRIORITY, EngineCapabilities, KeyedAccount, Route, RouteConfig,
     Service, WeightedService,
 };
 
-/// Hold time of a route that names none; the longest that the first sites use.
-const ROUTE_TIMEOUT_MS: u64 = 39_000;
-/// Goal of a route that names none.
-const ROUTE_GOAL_MS: u64 = 1_000;
-/// How long an engine keeps an unused copy where the configuration does not say.
-const COPY_KEPT_S: f64 = 5.0;
-
-/// Fields that nothing is made of. Health is judged by the results of calls, since questions about it are priced and answers may be false; every
-/// server speaks plain HTTP/1.1; placement does not depend on `sticky`; engines are not asked to pin or to hold, and their models are the operator's.
-const LEFT_ASIDE: [&str; 11] = [
+/// Timeout of a route that sets none; the longest one that the first sites use.
+const DEFAULT_ROUTE_TIMEOUT_MS: u64 = 39_000;
+/// Latency objective of a route that sets none.
+const DEFAULT_LATENCY_OBJECTIVE_MS: u64 = 1_000;
+/// Time for which an engine keeps an unused KV-cache copy if the configuration does not set it.
+const DEFAULT_COPY_RETENTION_S: f64 = 5.0;
+
+/// Fields that are ignored on purpose. Health is derived from the results of calls, since health
+/// checks are charged for and may report false results. Every server speaks plain HTTP/1.1.
+/// Placement does not depend on `sticky`. Engines are not asked to pin prompts or to hold
+/// reservations, and which models they have is up to the operator.
+const IGNORED_FIELDS: [&str; 11] = [
     "health-path",
     "protocol",
     "tls",
@@ -58,22 +60,23 @@
     goal_ms: Option<u64>,
     priority: Option<u8>,
     service: Option<String>,
-    /// Where a route is split over services.
+    /// Weighted services, if the route is split between several.
     #[serde(default)]
-    backends: Vec<WireShare>,
-    /// Counts servers, the first one included.
+    backends: Vec<WireWeightedService>,
+    /// Number of servers to try, including the first one.
     max_attempts: Option<u32>,
     #[serde(default)]
     public: bool,
     #[serde(default)]
     resumable: bool,
-    /// Longest pause between events; spelled with underscores on the wire.
+    /// Longest acceptable pause between events. Unlike the other fields, this one has underscores
+    /// on the wire.
     #[serde(rename = "gap_aim_ms")]
-    longest_pause_ms: Option<f64>,
+    pause_max_ms: Option<f64>,
 }
 
 #[derive(Deserialize)]
-struct WireShare {
+struct WireWeightedService {
     service: String,
     weight: f64,
 }
@@ -83,9 +86,9 @@
 struct WireService {
     name: String,
     max_conns: Option<u32>,
-    /// Seconds that a server is slow after a start.
+    /// Time for which a server is slow after a start, in seconds.
     cold_start_s: Option<f64>,
-    /// Requests a second that it bears meanwhile; 0 where nothing is said.
+    /// Sustainable rate during that time, in requests per second; 0 if not specified.
     cold_per_s: Option<f64>,
     engine: Option<WireEngine>,
 }
@@ -94,20 +97,20 @@
 #[serde(rename_all = "kebab-case")]
 struct WireEngine {
     slots: u32,
-    /// In tokens.
+    /// KV-cache memory, in tokens.
     kv_capacity: u32,
     token_kv_bytes: u64,
     link_mbps: f64,
     #[serde(default)]
     moves: bool,
-    /// Tokens in one event.
-    #[serde(default = "one")]
+    /// Number of tokens per event.
+    #[serde(default = "default_stride")]
     stride: u32,
-    /// Seconds that an unused copy is kept.
+    /// Time for which an unused KV-cache copy is kept, in seconds.
     handle_s: Option<f64>,
 }
 
-fn one() -> u32 {
+fn default_stride() -> u32 {
     1
 }
 
@@ -132,39 +135,46 @@
 /// Decodes a configuration.
 ///
 /// # Errors
-/// The text is not a configuration.
+/// Returns an error if the text is not a configuration.
 pub fn decode(text: &[u8]) -> Result<RouteConfig, String> {
-    let wire: WireConfig = unknown::read("configuration", text, &LEFT_ASIDE)?;
-    let routes: Result<Vec<Route>, String> = wire.routes.into_iter().map(route).collect();
-    let services: BTreeMap<String, Service> = wire.services.into_iter().map(service).collect();
+    let wire: WireConfig = unknown_names::parse_json("configuration", text, &IGNORED_FIELDS)?;
+    let routes: Result<Vec<Route>, String> = wire.routes.into_iter().map(convert_route).collect();
+    let services: BTreeMap<String, Service> =
+        wire.services.into_iter().map(convert_service).collect();
     let accounts = wire
         .tenants
-        .map(|tenants| tenants.into_iter().map(account).collect());
+        .map(|tenants| tenants.into_iter().map(convert_account).collect());
     Ok(RouteConfig {
         version: wire.version,
         routes: routes?,
         services,
-        limits: limits(wire.limits),
+        limits: convert_limits(wire.limits),
         accounts,
     })
 }
 
-/// A time on the wire; none where it is negative, and the longest there is where it is longer. A number that no time can hold ended the reader.
+/// Converts a number of seconds: zero if it is negative, and the longest duration if it is too
+/// large. A plain conversion panics on numbers that a `Duration` cannot hold, which would end the
+/// task that reads the configuration.
 fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX)
 }
 
-fn route(wire: WireRoute) -> Result<Route, String> {
+fn convert_route(wire: WireRoute) -> Result<Route, String> {
     let kind = match wire.kind.as_str() {
         "idempotent" => CallKind::Repeatable,
         "stream" => CallKind::Generation,
-        // Whatever else there is may run once at most.
+        // Calls of any other kind may run at most once.
         _ => CallKind::Once,
     };
-    let mut services: Vec<WeightedService> = wire.backends.into_iter().filter_map(share).collect();
+    let mut services: Vec<WeightedService> = wire
+        .backends
+        .into_iter()
+        .filter_map(convert_weight)
+        .collect();
     if services.is_empty() {
         let service = wire.service;
-        let service = service.ok_or_else(|| format!("route {} names no service", wire.name))?;
+        let service = service.ok_or_else(|| format!("route {} has no service", wire.name))?;
         services.push(WeightedService { service, weight: 1 });
     }
     let ms = Duration::from_millis;
@@ -175,10 +185,10 @@
         kind,
         services,
         attempts_max: wire.max_attempts.unwrap_or(1).max(1),
-        timeout: ms(wire.timeout_ms.unwrap_or(ROUTE_TIMEOUT_MS)),
-        latency_objective: ms(wire.goal_ms.unwrap_or(ROUTE_GOAL_MS)),
+        timeout: ms(wire.timeout_ms.unwrap_or(DEFAULT_ROUTE_TIMEOUT_MS)),
+        latency_objective: ms(wire.goal_ms.unwrap_or(DEFAULT_LATENCY_OBJECTIVE_MS)),
         pause_max: wire
-            .longest_pause_ms
+            .pause_max_ms
             .map(|pause_ms| seconds(pause_ms / 1_000.0)),
         priority: wire.priority.unwrap_or(DEFAULT_PRIORITY),
         public: wire.public,
@@ -186,8 +196,9 @@
     })
 }
 
-/// Weights may be fractions on the wire; hundredths are enough to tell them apart.
-fn share(wire: WireShare) -> Option<WeightedService> {
+/// Converts a weight, which may be a fraction on the wire, to an integer number of hundredths,
+/// which is precise enough.
+fn convert_weight(wire: WireWeightedService) -> Option<WeightedService> {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -200,7 +211,7 @@
     })
 }
 
-fn service(wire: WireService) -> (String, Service) {
+fn convert_service(wire: WireService) -> (String, Service) {
     let engine = wire.engine.map(|engine| EngineCapabilities {
         slots: engine.slots,
         memory_tokens: engine.kv_capacity,
@@ -208,12 +219,12 @@
         link_mbps: engine.link_mbps,
         supports_migration: engine.moves,
         event_tokens: engine.stride.max(1),
-        copy_retention: seconds(engine.handle_s.unwrap_or(COPY_KEPT_S)),
+        copy_retention: seconds(engine.handle_s.unwrap_or(DEFAULT_COPY_RETENTION_S)),
     });
-    let bears_per_s = wire.cold_per_s.filter(|per_s| *per_s > 0.0);
-    let cold_start = bears_per_s.map(|bears_per_s| ColdStart {
+    let sustainable_per_s = wire.cold_per_s.filter(|per_s| *per_s > 0.0);
+    let cold_start = sustainable_per_s.map(|sustainable_per_s| ColdStart {
         duration: seconds(wire.cold_start_s.unwrap_or_default()),
-        sustainable_per_s: bears_per_s,
+        sustainable_per_s,
     });
     let service = Service {
         connections_max: wire.max_conns.unwrap_or(u32::MAX),
@@ -223,7 +234,7 @@
     (wire.name, service)
 }
 
-fn account(wire: WireTenant) -> KeyedAccount {
+fn convert_account(wire: WireTenant) -> KeyedAccount {
     KeyedAccount {
         name: wire.name,
         keys: wire.api_keys,
@@ -231,7 +242,7 @@
     }
 }
 
-fn limits(wire: Option<WireLimits>) -> CallLimits {
+fn convert_limits(wire: Option<WireLimits>) -> CallLimits {
     let default = CallLimits::default();
     let Some(wire) = wire else { return default };
     let ms = Duration::from_millis;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! A client of the platform's log. Every call has a time-out; what is known after a failed call is in the type of its error.
+//! Client of the platform's log. Every call has a timeout. The type of an error tells what is known
+//! after the failed call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +17,7 @@
 use spdlog::warn;
 
 use super::names::{STORE_APPEND_PATH, STORE_NEWEST_PATH, STORE_READ_PATH};
-use super::{names, operator_config, servers, unknown};
+use super::{endpoint_entries, names, operator_config, unknown_names};
 use crate::gateway::parts;
 use crate::gateway::site_store::{
     MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError, StoreResult,
@@ -26,52 +27,60 @@
 use crate::kernel::fingerprint::{InvalidFingerprint, RequestFingerprint};
 use crate::kernel::position::Position;
 
-/// Longest time until an answer begins, beside what the call waits by itself. The store answers in 4 ms; slow days take sixty times that.
+/// Maximum time until a response starts, in addition to the wait that the call requests. The store
+/// normally responds in 4 ms, and in sixty times that on slow days.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A peer that is gone without a word is noticed after about this long twice over.
-const KEEPALIVE: Duration = Duration::from_secs(1);
-/// How long sent bytes may stay unacknowledged.
-const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Key of the one configuration record.
+/// Interval of TCP keepalive probes. A server that disappears without closing its connections is
+/// detected after about twice this time.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time for which sent bytes may stay unacknowledged.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Key of the only configuration record.
 const CONFIG_KEY: &str = "config";
-/// Keys of the records that ask for a hall to be emptied begin so; the hall's name follows. Their values say nothing.
+/// Key prefix of the records that order the evacuation of a hall; the name of the hall follows.
+/// Their values have no meaning.
 const EVACUATE_KEY_PREFIX: &str = "evacuate/";
-/// Keys of the contents that endpoints ended under begin so; the content's name follows. No instance has such a name.
+/// Key prefix of the records of crash suspects; the request fingerprint follows. No instance has a
+/// name with this prefix.
 const SUSPECT_KEY_PREFIX: &str = "suspect/";
-/// Eras that an instance may have missed: they rise by one with each return. One further on is no era: believed, it would make all later ones look
-/// like earlier ones.
+/// Maximum number of eras that an instance may have missed; each restore of the store from an older
+/// copy adds one. A larger jump is treated as an invalid value: if it were accepted, all later eras
+/// would look like earlier ones.
 const ERAS_MISSED_MAX: u64 = 1_000;
-/// Headers of an answer that are read.
-const OF_ANSWERS: [HeaderName; 1] = [names::STORE_ERA];
-/// Most that one read returns.
+/// Response headers that the client reads.
+const KNOWN_RESPONSE_HEADERS: [HeaderName; 1] = [names::STORE_ERA];
+/// Maximum size of the result of one read.
 const READ_MAX_KB: u32 = 1_024;
 
 inventory::submit! {
-    SiteStorePlugin { name: "keyed_log", connect: |address| Ok(Arc::new(Store::new(address)?)) }
+    SiteStorePlugin {
+        name: "keyed_log",
+        connect: |address| Ok(Arc::new(StoreClient::new(address)?))
+    }
 }
 
 /// Client of the log at one address.
 #[derive(Debug)]
-pub struct Store {
-    client: Mutex<Pooled>,
-    base: String,
-    /// The last sound era that an answer told; 0 where none does.
-    era: AtomicU64,
+pub struct StoreClient {
+    client: Mutex<PooledClient>,
+    base_url: String,
+    /// Latest valid era in a response so far; 0 if no response has named one.
+    latest_era: AtomicU64,
 }
 
-/// An answer of the store.
-struct Answered {
+/// A response of the store.
+struct StoreResponse {
     response: reqwest::Response,
-    /// The era that it is of.
+    /// Era of the store in which it was sent.
     era: u64,
 }
 
-/// A client with the connections that it keeps.
+/// An HTTP client with its connection pool.
 #[derive(Debug, Clone)]
-struct Pooled {
+struct PooledClient {
     client: reqwest::Client,
-    /// Rises with each client that takes the place of another.
+    /// Incremented each time that the client is replaced.
     number: u64,
 }
 
@@ -80,14 +89,14 @@
     items: Vec<WireItem>,
     #[serde(default)]
     more: bool,
-    /// Offset that the next record will get.
+    /// Offset of the next record to be appended.
     end: u64,
 }
 
 #[derive(Deserialize)]
 struct WireItem {
     key: String,
-    /// In base64; absent or empty where the key was dropped.
+    /// Encoded in base64; absent or empty if the key was deleted.
     #[serde(default)]
     value: Option<String>,
 }
@@ -97,10 +106,10 @@
     first: u64,
 }
 
-/// One record of a topic whose newest record of each key is kept.
+/// A record of a topic that retains the newest record of each key.
 struct KeyedRecord {
     key: String,
-    /// Absent where the record drops its key.
+    /// `None` if the record deletes its key.
     value: Option<Bytes>,
 }
 
@@ -112,51 +121,55 @@
     }
 }
 
-impl Store {
-    /// A client; connects with the first call.
+impl StoreClient {
+    /// Creates a client, which connects on the first call.
     ///
     /// # Errors
-    /// The HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn new(address: SocketAddr) -> anyhow::Result<Self> {
-        let first = Pooled {
+        let client = PooledClient {
             client: build_client()?,
             number: 0,
         };
         Ok(Self {
-            client: Mutex::new(first),
-            base: format!("http://{address}"),
-            era: AtomicU64::new(0),
+            client: Mutex::new(client),
+            base_url: format!("http://{address}"),
+            latest_era: AtomicU64::new(0),
         })
     }
 
-    /// Leaves the connections of a client alone on which a call had no answer: others may have gone silent with that one, and each would cost a
-    /// call. With 8 connections at rest, one call in place of 8 is lost (`store_connections_silent_one_call_lost`).
-    fn leave_connections(&self, silent: &Pooled) {
+    /// Replaces a client on which a call timed out, and with it all of its pooled connections:
+    /// others may have stopped responding together with that one, and each would cost a call. With
+    /// 8 idle connections, one call is lost instead of 8
+    /// (`store_connections_silent_one_call_lost`).
+    fn replace_client(&self, unresponsive: &PooledClient) {
         let mut pooled = self.client.lock();
-        if pooled.number != silent.number {
+        if pooled.number != unresponsive.number {
             return;
         }
         match build_client() {
             Ok(client) => {
-                *pooled = Pooled {
+                *pooled = PooledClient {
                     client,
-                    number: silent.number + 1,
+                    number: unresponsive.number + 1,
                 }
             }
             Err(error) => warn!("connections to the store kept", kv: { why: = error }),
         }
     }
 
+    /// Sends a request and checks the status and the era of the response, whose head must arrive
+    /// within `head_timeout`.
     async fn call(
         &self,
         request: impl FnOnce(&reqwest::Client) -> reqwest::RequestBuilder,
-        answer_begins_within: Duration,
-    ) -> StoreResult<Answered> {
+        head_timeout: Duration,
+    ) -> StoreResult<StoreResponse> {
         let pooled = self.client.lock().clone();
         let sending = request(&pooled.client).send();
-        let Ok(sent) = tokio::time::timeout(answer_begins_within, sending).await else {
-            self.leave_connections(&pooled);
-            return Err(StoreError::NoAnswer("no answer in time".to_owned()));
+        let Ok(sent) = tokio::time::timeout(head_timeout, sending).await else {
+            self.replace_client(&pooled);
+            return Err(StoreError::NoAnswer("no response in time".to_owned()));
         };
         let response = sent.map_err(|error| {
             if error.is_connect() {
@@ -166,14 +179,14 @@
             }
         })?;
         let headers = response.headers();
-        unknown::note_headers("store's header", headers, &OF_ANSWERS);
-        let era = self.take_era(headers)?;
+        unknown_names::record_unknown_headers("store's header", headers, &KNOWN_RESPONSE_HEADERS);
+        let era = self.check_era(headers)?;
         let status = response.status();
         if status.is_success() {
-            return Ok(Answered { response, era });
+            return Ok(StoreResponse { response, era });
         }
         if status == StatusCode::GONE {
-            let expired: WireExpired = json(response).await?;
+            let expired: WireExpired = read_json(response).await?;
             return Err(StoreError::Expired {
                 first_offset: expired.first,
             });
@@ -181,49 +194,53 @@
         Err(StoreError::Refused(status.to_string()))
     }
 
-    /// The era of an answer. One that tells none, or something that can be none, is taken to be of the last that was told.
+    /// Returns the era of a response, and records it as the latest. A response without a valid era
+    /// is assumed to belong to the latest known one.
     ///
     /// # Errors
-    /// The answer is of an earlier era: it was on its way while the store came back from an older copy, and what it says is gone.
-    fn take_era(&self, headers: &HeaderMap) -> StoreResult<u64> {
-        let told = headers.get(names::STORE_ERA);
-        let era: Option<u64> = told.and_then(|value| value.to_str().ok()?.trim().parse().ok());
-        let before = self.era.load(Ordering::Relaxed);
-        let is_sound = |era: &u64| before == 0 || era.saturating_sub(before) <= ERAS_MISSED_MAX;
-        let Some(era) = era.filter(is_sound) else {
-            if let Some(value) = told {
-                unknown::note(
+    /// Returns an error if the response belongs to an earlier era: it was in transit while the
+    /// store was restored from an older copy, and its data no longer exists.
+    fn check_era(&self, headers: &HeaderMap) -> StoreResult<u64> {
+        let header = headers.get(names::STORE_ERA);
+        let era: Option<u64> = header.and_then(|value| value.to_str().ok()?.trim().parse().ok());
+        let known = self.latest_era.load(Ordering::Relaxed);
+        let is_valid = |era: &u64| known == 0 || era.saturating_sub(known) <= ERAS_MISSED_MAX;
+        let Some(era) = era.filter(is_valid) else {
+            if let Some(value) = header {
+                unknown_names::record_unknown(
                     "value of store-era",
                     &String::from_utf8_lossy(value.as_bytes()),
                 );
             }
-            return Ok(before);
+            return Ok(known);
         };
-        let latest = self.era.fetch_max(era, Ordering::Relaxed);
+        let latest = self.latest_era.fetch_max(era, Ordering::Relaxed);
         if era < latest {
             warn!("answer of an earlier era of the store dropped", kv: { era:, latest: });
-            return Err(StoreError::NoAnswer(format!("an answer of era {era}")));
+            return Err(StoreError::NoAnswer(format!(
+                "response of the earlier store era {era}"
+            )));
         }
         Ok(era)
     }
 
-    /// Writes a record of our own; without a value it drops the key.
-    async fn put(&self, key: &str, value: &[u8]) -> StoreResult<()> {
+    /// Appends a record of this instance. An empty value deletes the key.
+    async fn append_record(&self, key: &str, value: &[u8]) -> StoreResult<()> {
         let topic = topic(Subject::Members);
-        let url = format!("{}{STORE_APPEND_PATH}?topic={topic}&part=0", self.base);
-        let record = keyed_record(key, value).map_err(StoreError::Malformed)?;
+        let url = format!("{}{STORE_APPEND_PATH}?topic={topic}&part=0", self.base_url);
+        let record = encode_record(key, value).map_err(StoreError::Malformed)?;
         let request = |client: &reqwest::Client| client.post(url).body(record);
         self.call(request, CALL_TIMEOUT).await?;
         Ok(())
     }
 
-    /// A page of the newest records, and its era.
-    async fn newest_page(
+    /// Reads a page of the newest records, starting after the key `since`. Returns it with its era.
+    async fn fetch_newest_page(
         &self,
         subject: Subject,
         since: Option<&str>,
     ) -> StoreResult<(WireNewest, u64)> {
-        let url = format!("{}{STORE_NEWEST_PATH}", self.base);
+        let url = format!("{}{STORE_NEWEST_PATH}", self.base_url);
         let mut query = vec![("topic", topic(subject)), ("part", "0")];
         query.extend(since.map(|key| ("since-rev", key)));
         let query: Vec<String> = query
@@ -231,8 +248,8 @@
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
         let url = format!("{url}?{}", query.join("&"));
-        let answered = self.call(|client| client.get(url), CALL_TIMEOUT).await?;
-        Ok((json(answered.response).await?, answered.era))
+        let response = self.call(|client| client.get(url), CALL_TIMEOUT).await?;
+        Ok((read_json(response.response).await?, response.era))
     }
 }
 
@@ -242,41 +259,43 @@
         .redirect(reqwest::redirect::Policy::none())
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .tcp_keepalive(KEEPALIVE)
-        .tcp_keepalive_interval(KEEPALIVE)
+        .tcp_keepalive(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
         .tcp_keepalive_retries(2)
-        .tcp_user_timeout(USER_TIMEOUT)
+        .tcp_user_timeout(TCP_USER_TIMEOUT)
         .build()
 }
 
-/// The body of an answer, however long it takes, as long as it keeps coming.
-async fn body(response: reqwest::Response) -> StoreResult<Bytes> {
+/// Reads the body of a response. There is no limit on the total time as long as bytes keep
+/// arriving.
+async fn read_body(response: reqwest::Response) -> StoreResult<Bytes> {
     let body = parts::collect(response.bytes_stream(), parts::SILENCE_MAX).await;
     body.map_err(|fault| StoreError::NoAnswer(fault.to_string()))
 }
 
-async fn json<T: serde::de::DeserializeOwned>(response: reqwest::Response) -> StoreResult<T> {
-    let body = body(response).await?;
+async fn read_json<T: serde::de::DeserializeOwned>(response: reqwest::Response) -> StoreResult<T> {
+    let body = read_body(response).await?;
     serde_json::from_slice(&body).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
 #[async_trait]
-impl SiteStore for Store {
+impl SiteStore for StoreClient {
     async fn read_latest(&self, subject: Subject) -> StoreResult<SitePage> {
         let mut records = Vec::new();
         let mut first_end = None;
         let mut since: Option<String> = None;
         loop {
-            let (page, era) = self.newest_page(subject, since.as_deref()).await?;
+            let (page, era) = self.fetch_newest_page(subject, since.as_deref()).await?;
             let end = Position::new(era, page.end);
-            // Pages are no snapshot: reading on from the end of the first one misses nothing.
+            // The pages are not a snapshot. Reading on from the end of the first page misses
+            // nothing.
             let first_end: Position = *first_end.get_or_insert(end);
             if era != first_end.era() {
                 return Err(StoreError::EraChanged { era });
             }
             since = page.items.last().map(|item| item.key.clone());
             for item in page.items {
-                records.extend(decode_newest(subject, &item, end));
+                records.extend(decode_newest_item(subject, &item, end));
             }
             if !page.more || since.is_none() {
                 break;
@@ -284,7 +303,7 @@
         }
         let next = first_end.unwrap_or_default();
         if subject == Subject::Configuration {
-            records = with_halls(records, next);
+            records = merge_hall_orders(records, next);
         }
         Ok(SitePage { records, next })
     }
@@ -297,22 +316,22 @@
     ) -> StoreResult<SitePage> {
         let url = format!(
             "{}{STORE_READ_PATH}?topic={}&part=0&from={}&max_kb={READ_MAX_KB}&wait-ms={}",
-            self.base,
+            self.base_url,
             topic(subject),
             from.offset(),
             wait.as_millis()
         );
-        let answered = self
+        let response = self
             .call(|client| client.get(url), wait + CALL_TIMEOUT)
             .await?;
-        if answered.era > from.era() {
-            return Err(StoreError::EraChanged { era: answered.era });
+        if response.era > from.era() {
+            return Err(StoreError::EraChanged { era: response.era });
         }
-        let body = body(answered.response).await?;
-        let keyed = split_records(&body).map_err(StoreError::Malformed)?;
+        let body = read_body(response.response).await?;
+        let keyed = parse_records(&body).map_err(StoreError::Malformed)?;
         let count = u64::try_from(keyed.len()).unwrap_or(u64::MAX);
-        let places = (1..).map(|records| from.plus(records));
-        let records = places
+        let next_positions = (1..).map(|records| from.plus(records));
+        let records = next_positions
             .zip(&keyed)
             .filter_map(|(next, record)| {
                 decode(subject, &record.key, record.value.as_deref(), next)
@@ -325,16 +344,16 @@
     }
 
     async fn announce(&self, member: &MemberEntry) -> StoreResult<()> {
-        self.put(&member.name, &to_json(member)?).await
+        self.append_record(&member.name, &to_json(member)?).await
     }
 
     async fn store_suspect(&self, suspect: &StoredSuspect) -> StoreResult<()> {
         let key = suspect_key(suspect.fingerprint());
-        self.put(&key, &to_json(suspect)?).await
+        self.append_record(&key, &to_json(suspect)?).await
     }
 
-    async fn delete_suspect(&self, content: RequestFingerprint) -> StoreResult<()> {
-        self.put(&suspect_key(content), &[]).await
+    async fn delete_suspect(&self, fingerprint: RequestFingerprint) -> StoreResult<()> {
+        self.append_record(&suspect_key(fingerprint), &[]).await
     }
 }
 
@@ -342,12 +361,12 @@
     serde_json::to_vec(value).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-fn suspect_key(content: RequestFingerprint) -> String {
-    format!("{SUSPECT_KEY_PREFIX}{content}")
+fn suspect_key(fingerprint: RequestFingerprint) -> String {
+    format!("{SUSPECT_KEY_PREFIX}{fingerprint}")
 }
 
-/// A record as it is appended: its length, the key's length, the key, the value.
-fn keyed_record(key: &str, value: &[u8]) -> Result<Vec<u8>, String> {
+/// Encodes a record for appending: its length, the length of its key, the key and the value.
+fn encode_record(key: &str, value: &[u8]) -> Result<Vec<u8>, String> {
     let key_length = u8::try_from(key.len()).map_err(|_| format!("key {key:?} is too long"))?;
     let length = 1 + key.len() + value.len();
     let length = u32::try_from(length).map_err(|_| format!("record of {key:?} is too long"))?;
@@ -358,26 +377,26 @@
     Ok(record)
 }
 
-/// Splits the body of a read: two offsets (the end and the first one kept), then records.
-fn split_records(body: &[u8]) -> Result<Vec<KeyedRecord>, String> {
+/// Parses the body of a read: two offsets (the end and the first retained one), then the records.
+fn parse_records(body: &[u8]) -> Result<Vec<KeyedRecord>, String> {
     const OFFSETS_BYTES: usize = 16;
     let mut rest = body
         .get(OFFSETS_BYTES..)
-        .ok_or("a read without its two offsets")?;
+        .ok_or("response to a read lacks the two offsets")?;
     let mut records = Vec::new();
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
         let length = u32::from_be_bytes(*length) as usize;
-        let record = after.get(..length).ok_or("a record is cut short")?;
-        records.push(split_record(record)?);
+        let record = after.get(..length).ok_or("record truncated")?;
+        records.push(parse_record(record)?);
         rest = &after[length..];
     }
     Ok(records)
 }
 
-fn split_record(record: &[u8]) -> Result<KeyedRecord, String> {
-    let (key_length, rest) = record.split_first().ok_or("a record without a key")?;
+fn parse_record(record: &[u8]) -> Result<KeyedRecord, String> {
+    let (key_length, rest) = record.split_first().ok_or("record has no key")?;
     let key_length = usize::from(*key_length);
-    let key = rest.get(..key_length).ok_or("a key is cut short")?;
+    let key = rest.get(..key_length).ok_or("key of a record truncated")?;
     let value = &rest[key_length..];
     Ok(KeyedRecord {
         key: String::from_utf8_lossy(key).into_owned(),
@@ -385,8 +404,8 @@
     })
 }
 
-/// Decodes an item of the newest records; nothing where its key was dropped.
-fn decode_newest(subject: Subject, item: &WireItem, end: Position) -> Option<SiteRecord> {
+/// Decodes an item of a page of newest records. Returns `None` if its key was deleted.
+fn decode_newest_item(subject: Subject, item: &WireItem, end: Position) -> Option<SiteRecord> {
     let text = item.value.as_ref().filter(|text| !text.is_empty())?;
     match STANDARD.decode(text) {
         Ok(value) => decode(subject, &item.key, Some(&value), end),
@@ -397,8 +416,9 @@
     }
 }
 
-/// Puts the halls that a whole reading names into one record: a hall that it does not name is not evacuated.
-fn with_halls(records: Vec<SiteRecord>, end: Position) -> Vec<SiteRecord> {
+/// Merges the hall orders of a complete read into one record, which also tells that no other hall
+/// is evacuated.
+fn merge_hall_orders(records: Vec<SiteRecord>, end: Position) -> Vec<SiteRecord> {
     let mut evacuated = EvacuatedHalls {
         complete_to: end,
         ..EvacuatedHalls::default()
@@ -416,37 +436,43 @@
     others
 }
 
-/// Decodes a record of a subject, after which the next one has the given place; gives nothing for keys that are not ours to read.
+/// Decodes a record of a subject; `next` is the position of the record after it. Returns `None` for
+/// keys that larkwick does not read.
 fn decode(subject: Subject, key: &str, value: Option<&[u8]>, next: Position) -> Option<SiteRecord> {
     let decoded = match (subject, value) {
-        (Subject::Configuration, value) => return decode_operators(key, value, next),
-        (Subject::Endpoints, Some(value)) => servers::decode(key, value).map(SiteRecord::Endpoint),
+        (Subject::Configuration, value) => return decode_operator_record(key, value, next),
+        (Subject::Endpoints, Some(value)) => {
+            endpoint_entries::decode(key, value).map(SiteRecord::Endpoint)
+        }
         (Subject::Endpoints, None) => Ok(SiteRecord::EndpointGone(key.to_owned())),
-        (Subject::Members, value) => return decode_own(key, value),
+        (Subject::Members, value) => return decode_instance_record(key, value),
     };
-    Some(readable(key, decoded))
+    Some(record_or_unreadable(key, decoded))
 }
 
 /// Decodes a record that an instance wrote.
-fn decode_own(key: &str, value: Option<&[u8]>) -> Option<SiteRecord> {
-    let Some(content) = key.strip_prefix(SUSPECT_KEY_PREFIX) else {
+fn decode_instance_record(key: &str, value: Option<&[u8]>) -> Option<SiteRecord> {
+    let Some(fingerprint) = key.strip_prefix(SUSPECT_KEY_PREFIX) else {
         let member = serde_json::from_slice(value?).map(SiteRecord::Member);
-        return Some(readable(key, member.map_err(|error| error.to_string())));
+        return Some(record_or_unreadable(
+            key,
+            member.map_err(|error| error.to_string()),
+        ));
     };
     let decoded = match value {
         Some(value) => serde_json::from_slice(value)
             .map(SiteRecord::Suspect)
             .map_err(|error| error.to_string()),
-        None => content
+        None => fingerprint
             .parse()
             .map(SiteRecord::SuspectGone)
             .map_err(|error: InvalidFingerprint| error.to_string()),
     };
-    Some(readable(key, decoded))
+    Some(record_or_unreadable(key, decoded))
 }
 
 /// Decodes a record that the operator wrote.
-fn decode_operators(key: &str, value: Option<&[u8]>, next: Position) -> Option<SiteRecord> {
+fn decode_operator_record(key: &str, value: Option<&[u8]>, next: Position) -> Option<SiteRecord> {
     if let Some(hall) = key.strip_prefix(EVACUATE_KEY_PREFIX) {
         return Some(SiteRecord::HallOrder(HallOrder {
             hall: hall.to_owned(),
@@ -455,14 +481,18 @@
         }));
     }
     if key != CONFIG_KEY {
-        unknown::note("operator's key", key);
+        unknown_names::record_unknown("operator's key", key);
         return None;
     }
     let decoded = operator_config::decode(value?);
-    Some(readable(key, decoded.map(SiteRecord::Configuration)))
+    Some(record_or_unreadable(
+        key,
+        decoded.map(SiteRecord::Configuration),
+    ))
 }
 
-fn readable(key: &str, decoded: Result<SiteRecord, String>) -> SiteRecord {
+/// Returns the decoded record, or one that marks the key as unreadable if decoding failed.
+fn record_or_unreadable(key: &str, decoded: Result<SiteRecord, String>) -> SiteRecord {
     decoded.unwrap_or_else(|why| SiteRecord::Unreadable {
         key: key.to_owned(),
         why,
--- a/src/standin/site/server.rs
+++ b/src/standin/site/server.rs
@@ -83,10 +83,10 @@
         let refused = response.status() == http::StatusCode::SERVICE_UNAVAILABLE;
         let headers = response.headers_mut();
         if let Some(text) = self.leaving {
-            headers.insert(names::LEAVING, http::HeaderValue::from_static(text));
+            headers.insert(names::DRAINING, http::HeaderValue::from_static(text));
         }
         if let Some(limit) = self.limit.as_deref().and_then(|text| text.parse().ok()) {
-            headers.insert(names::LIMIT, limit);
+            headers.insert(names::RATE_LIMIT, limit);
         }
         if let Some(text) = self.rest.filter(|_| refused) {
             headers.insert(RETRY_AFTER, http::HeaderValue::from_static(text));
@@ -228,7 +228,7 @@
 fn sealed(mut response: Response<StandinBody>, id: &str) -> Response<StandinBody> {
     let headers = response.headers_mut();
     headers.insert(names::REQUEST_ID, id.parse().expect("an id"));
-    headers.insert(names::SEAL, http::HeaderValue::from_static("seal"));
+    headers.insert(names::RESPONSE_SEAL, http::HeaderValue::from_static("seal"));
     response
 }
 
@@ -472,7 +472,7 @@
         let headers = answered.headers_mut();
         headers.insert(names::REQUEST_ID, echoed.parse().expect("an id"));
         if fault != ServerFault::Unsealed {
-            headers.insert(names::SEAL, http::HeaderValue::from_static("seal"));
+            headers.insert(names::RESPONSE_SEAL, http::HeaderValue::from_static("seal"));
         }
         answered
     }
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -180,7 +180,7 @@
         .iter()
         .fold(answer, |answer, (name, value)| answer.header(*name, *value));
     let (parts, ()) = answer.body(()).expect("an answer").into_parts();
-    engine::decode_answer(&parts).signals
+    engine::decode_response_head(&parts).signals
 }
 
 #[test]
@@ -245,7 +245,7 @@
             .header("server-leaving", "1")
             .header("server-limit", "2");
         let (parts, ()) = answer.body(()).expect("an answer").into_parts();
-        let headers = engine::answer_headers(&parts);
+        let headers = engine::caller_response_headers(&parts);
         assert!(headers.contains_key("x-own"));
         assert!(!headers.contains_key("server-leaving"));
         assert!(!headers.contains_key("server-limit"));
--- a/tests/platform_records.rs
+++ b/tests/platform_records.rs
@@ -1,7 +1,7 @@
 //! Decoding of the platform's records with altered fields: missing, of another type, unknown or
 //! malformed. Decoding must not panic, and an invalid entry must not yield an endpoint.
 
-use larkwick::platform::{engine, operator_config, servers};
+use larkwick::platform::{endpoint_entries, engine, operator_config};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -81,7 +81,7 @@
             let path: &String = index.get(&paths);
             *changed.pointer_mut(path).expect("a field") = altered.clone();
             let text = changed.to_string();
-            let _ = servers::decode("i-1", text.as_bytes());
+            let _ = endpoint_entries::decode("i-1", text.as_bytes());
             let _ = operator_config::decode(text.as_bytes());
             let _ = engine::decode_report(text.as_bytes());
         }
@@ -89,7 +89,7 @@
 
     #[test]
     fn decode_any_bytes_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(servers::decode("i-1", &bytes).is_err());
+        prop_assert!(endpoint_entries::decode("i-1", &bytes).is_err());
         prop_assert!(operator_config::decode(&bytes).is_err());
         let _ = engine::decode_report(&bytes);
     }
@@ -98,8 +98,8 @@
     fn decode_unknown_field_changes_nothing(name in "[a-z]{3,9}-[0-9]", value in any_value()) {
         let mut extended = entry();
         extended[&name] = value;
-        let known = servers::decode("i-1", entry().to_string().as_bytes());
-        prop_assert_eq!(servers::decode("i-1", extended.to_string().as_bytes()), known);
+        let known = endpoint_entries::decode("i-1", entry().to_string().as_bytes());
+        prop_assert_eq!(endpoint_entries::decode("i-1", extended.to_string().as_bytes()), known);
     }
 }
 
@@ -125,7 +125,7 @@
     for name in ["service", "addr", "zone", "slots", "state"] {
         let mut reduced = entry();
         reduced.as_object_mut().expect("an object").remove(name);
-        let decoded = servers::decode("i-1", reduced.to_string().as_bytes());
+        let decoded = endpoint_entries::decode("i-1", reduced.to_string().as_bytes());
         assert!(decoded.is_err(), "{name}");
     }
 }
@@ -147,14 +147,15 @@
     for (name, value) in replacements {
         let mut altered_entry = entry();
         altered_entry[name] = value.clone();
-        let decoded = servers::decode("i-1", altered_entry.to_string().as_bytes());
+        let decoded = endpoint_entries::decode("i-1", altered_entry.to_string().as_bytes());
         assert!(decoded.is_err(), "{name} {value}");
     }
 }
 
 #[test]
 fn decode_entry_start_time_is_part_of_id() {
-    let decoded = servers::decode("i-1", entry().to_string().as_bytes()).expect("an entry");
+    let decoded =
+        endpoint_entries::decode("i-1", entry().to_string().as_bytes()).expect("an entry");
     assert_eq!(decoded.id, "i-1@1700000000000");
     assert_eq!(decoded.listed_id, "i-1");
     let mut without_start = entry();
@@ -162,6 +163,7 @@
         .as_object_mut()
         .expect("an object")
         .remove("born");
-    let decoded = servers::decode("i-1", without_start.to_string().as_bytes()).expect("an entry");
+    let decoded =
+        endpoint_entries::decode("i-1", without_start.to_string().as_bytes()).expect("an entry");
     assert_eq!(decoded.id, "i-1");
 }
