--- a/src/daemon/config_loop.rs
+++ b/src/daemon/config_loop.rs
@@ -15,7 +15,7 @@
 use crate::kernel::membership::rendezvous_weight;
 use crate::kernel::rules::Catalog;
 use crate::log_service::{CONFIG_STREAM, PlatformError};
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -239,9 +239,9 @@
 /// Takes records or state from a peer that is ahead.
 pub(crate) async fn fetch_from_peer(node: &Node, address: &str) -> Result<(), tonic::Status> {
     let from_offset = node.config.next_offset();
-    let mut client = node.peers.to(address)?;
+    let mut client = node.peers.peer_client(address)?;
     let request = wire::FetchConfigRequest { from_offset };
-    let reply = within(PEER_TIMEOUT, client.fetch_config(request)).await?;
+    let reply = call_with_timeout(PEER_TIMEOUT, client.fetch_config(request)).await?;
     if reply.next_offset <= from_offset {
         return Ok(());
     }
--- a/src/daemon/member_loop.rs
+++ b/src/daemon/member_loop.rs
@@ -12,8 +12,8 @@
 use crate::kernel::gossip::Gossip;
 use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::log_service::ListedInstance;
-use crate::peer::client::within;
-use crate::peer::convert::BadField;
+use crate::peer::client::call_with_timeout;
+use crate::peer::convert::InvalidMessageField;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -47,8 +47,11 @@
 }
 
 /// Takes what a peer tells; gives its name.
-pub(crate) fn take_beat(node: &Arc<Node>, beat: wire::Beat) -> Result<String, BadField> {
-    let status: PeerStatus = beat.status.ok_or(BadField("status"))?.try_into()?;
+pub(crate) fn take_beat(node: &Arc<Node>, beat: wire::Beat) -> Result<String, InvalidMessageField> {
+    let status: PeerStatus = beat
+        .status
+        .ok_or(InvalidMessageField("status"))?
+        .try_into()?;
     let now = node.now();
     let mut departed = Vec::new();
     for incarnation in beat.departures {
@@ -91,10 +94,10 @@
 }
 
 async fn beat(node: Arc<Node>, to: String, address: String) {
-    let Ok(mut client) = node.peers.to(&address) else {
+    let Ok(mut client) = node.peers.peer_client(&address) else {
         return;
     };
-    if let Ok(reply) = within(BEAT_TIMEOUT, client.heartbeat(own_beat(&node, &to))).await
+    if let Ok(reply) = call_with_timeout(BEAT_TIMEOUT, client.heartbeat(own_beat(&node, &to))).await
         && let Err(bad) = take_beat(&node, reply)
     {
         warn!("heartbeat not read: {}", bad);
--- a/src/daemon/place.rs
+++ b/src/daemon/place.rs
@@ -19,7 +19,7 @@
     self, Candidate, GenerationSize, InFlight, PolicyScope, tokens_as_f64,
 };
 use crate::kernel::rules::{AllowedEndpoint, Catalog, Workload};
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::convert::reserve_to_wire;
 
 /// Groups asked before giving up.
@@ -281,14 +281,14 @@
             let members = self.members.lock();
             members.get(owner)?.status.peer_address.clone()
         };
-        let mut client = self.peers.to(&address).ok()?;
+        let mut client = self.peers.peer_client(&address).ok()?;
         let limit = if request.deadline.is_zero() {
             OWNER_TIMEOUT
         } else {
             reserve_timeout(request, self.settings.limits.queue_wait_ms)
         };
         let call = client.reserve(reserve_to_wire(group, request));
-        let Ok(reply) = within(limit, call).await else {
+        let Ok(reply) = call_with_timeout(limit, call).await else {
             metrics::counter!("larkwick_owner_unreachable_total").increment(1);
             return None;
         };
--- a/src/daemon/reservations.rs
+++ b/src/daemon/reservations.rs
@@ -9,7 +9,7 @@
 use uuid::Uuid;
 
 use super::node::Node;
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -144,13 +144,13 @@
     let Some(address) = address else { return };
     let node = node.clone();
     tokio::spawn(async move {
-        let Ok(mut client) = node.peers.to(&address) else {
+        let Ok(mut client) = node.peers.peer_client(&address) else {
             return;
         };
         let group = key.group;
         let report = wire::ReportRequest { group, progress };
         // A report that is lost is made up for by the next one, or by the reservation lapsing.
-        let _ = within(REPORT_TIMEOUT, client.report(report)).await;
+        let _ = call_with_timeout(REPORT_TIMEOUT, client.report(report)).await;
     });
 }
 
--- a/src/daemon/serve.rs
+++ b/src/daemon/serve.rs
@@ -146,7 +146,7 @@
 ) -> Result<tonic::Streaming<wire::RelayEvent>, tonic::Status> {
     let request = serde_json::to_string(request)
         .map_err(|error| tonic::Status::internal(error.to_string()))?;
-    let mut client = node.peers.to(address)?;
+    let mut client = node.peers.peer_client(address)?;
     let reply = client.relay(wire::RelayRequest { request }).await?;
     Ok(reply.into_inner())
 }
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -26,7 +26,7 @@
 };
 use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::permits::LimitShare;
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::convert;
 use crate::peer::generated as wire;
 use crate::settings::ms;
@@ -108,7 +108,7 @@
     excluded: &[String],
     wait: Duration,
 ) -> Result<Option<Placement>, tonic::Status> {
-    let mut client = gateway.peers.site_at(address)?;
+    let mut client = gateway.peers.site_client(address)?;
     let request = wire::PlaceRequest {
         service: service.to_owned(),
         entry: gateway.incarnation.name.clone(),
@@ -117,12 +117,12 @@
         excluded: excluded.to_vec(),
     };
     let requested_at = gateway.now();
-    let reply = within(wait + PLACEMENT_REPLY_MARGIN, client.place(request)).await?;
+    let reply = call_with_timeout(wait + PLACEMENT_REPLY_MARGIN, client.place(request)).await?;
     // On this instance's clock, and no later than the actual time: if this instance was suspended
     // meanwhile, it sees that the placement is old.
     let counted_at = requested_at + ms(reply.waited_ms);
     let counted_at = reply.counted.then_some(counted_at);
-    Ok(convert::granted(reply).map(|engine| Placement { engine, counted_at }))
+    Ok(convert::granted_endpoint(reply).map(|engine| Placement { engine, counted_at }))
 }
 
 /// Finds an engine from this instance's own ledger and waits for capacity if necessary.
@@ -394,13 +394,13 @@
     let Some(address) = address else {
         return (MoveResult::RunGone, "entry unknown".to_owned());
     };
-    let client = gateway.peers.site_at(&address);
+    let client = gateway.peers.site_client(&address);
     let response = match client {
-        Ok(mut client) => within(MOVE_TIMEOUT, client.move_run(request)).await,
+        Ok(mut client) => call_with_timeout(MOVE_TIMEOUT, client.move_run(request)).await,
         Err(status) => Err(status),
     };
     match response {
-        Ok(reply) => (convert::move_result(reply.result), reply.reason),
+        Ok(reply) => (convert::decode_move_result(reply.result), reply.reason),
         Err(status) => (MoveResult::Failed, status.message().to_owned()),
     }
 }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -19,7 +19,7 @@
 };
 use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::fleet::EndpointEntry;
-use crate::peer::convert::BadField;
+use crate::peer::convert::InvalidMessageField;
 use crate::peer::generated as wire;
 
 /// Interval at which expired suspects are removed and unsaved ones are written to the store.
@@ -217,7 +217,7 @@
     pub(super) fn merge_suspects(
         self: &Arc<Self>,
         suspects: Vec<wire::Suspect>,
-    ) -> Result<(), BadField> {
+    ) -> Result<(), InvalidMessageField> {
         for received in suspects {
             let received: SuspectReport = received.try_into()?;
             let change = self.suspects.lock().merge(&received, self.now());
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -9,8 +9,8 @@
 use super::node::{Gateway, MEMBER_RING};
 use crate::kernel::gossip::Gossip;
 use crate::kernel::membership::{Incarnation, PeerStatus};
-use crate::peer::client::within;
-use crate::peer::convert::BadField;
+use crate::peer::client::call_with_timeout;
+use crate::peer::convert::InvalidMessageField;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -74,8 +74,14 @@
 }
 
 /// Takes what a peer tells; gives its name.
-pub(crate) fn take_beat(gateway: &Arc<Gateway>, beat: wire::Beat) -> Result<String, BadField> {
-    let status: PeerStatus = beat.status.ok_or(BadField("status"))?.try_into()?;
+pub(crate) fn take_beat(
+    gateway: &Arc<Gateway>,
+    beat: wire::Beat,
+) -> Result<String, InvalidMessageField> {
+    let status: PeerStatus = beat
+        .status
+        .ok_or(InvalidMessageField("status"))?
+        .try_into()?;
     let gossip: Gossip = beat.gossip.unwrap_or_default().into();
     if let Some(told) = beat.evacuated {
         gateway.take_halls(&told.into(), "member");
@@ -83,7 +89,7 @@
     gateway.take_leaving_endpoints(&beat.leaving_endpoints);
     gateway.take_limits(beat.limits);
     gateway.merge_suspects(beat.suspects)?;
-    let departed: Result<Vec<Incarnation>, BadField> = beat
+    let departed: Result<Vec<Incarnation>, InvalidMessageField> = beat
         .departures
         .into_iter()
         .map(Incarnation::try_from)
@@ -117,11 +123,11 @@
 }
 
 async fn beat(gateway: Arc<Gateway>, address: String, own: wire::Beat) {
-    let Ok(mut client) = gateway.peers.site_at(&address) else {
+    let Ok(mut client) = gateway.peers.site_client(&address) else {
         return;
     };
     // A peer that does not answer shows by its silence.
-    if let Ok(reply) = within(CALL_TIMEOUT, client.heartbeat(own)).await
+    if let Ok(reply) = call_with_timeout(CALL_TIMEOUT, client.heartbeat(own)).await
         && let Err(bad) = take_beat(&gateway, reply)
     {
         warn!("heartbeat not read: {}", bad);
@@ -188,7 +194,7 @@
     loop {
         beat_round(&gateway);
         if gateway.now().saturating_sub(swept_at) >= CONNECTIONS_SWEPT_EVERY {
-            gateway.peers.drop_unused();
+            gateway.peers.drop_idle();
             swept_at = gateway.now();
         }
         tokio::time::sleep(every).await;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -15,7 +15,7 @@
 use crate::kernel::engine_ledger::ReportedRun;
 use crate::kernel::limit::LimitUpdate;
 use crate::kernel::permits::PermitDecision;
-use crate::peer::convert::{self, BadField};
+use crate::peer::convert::{self, InvalidMessageField};
 use crate::peer::generated as wire;
 use crate::peer::generated::site_server::Site;
 use crate::settings::ms;
@@ -92,7 +92,7 @@
         self.gateway.tally.count(Work::Place);
         let begun = self.gateway.now();
         let request = request.into_inner();
-        let demand = request.demand.ok_or(BadField("demand"))?.into();
+        let demand = request.demand.ok_or(InvalidMessageField("demand"))?.into();
         let granted = coordinator::place_locally(
             &self.gateway,
             &request.service,
@@ -119,7 +119,7 @@
     ) -> Result<Response<wire::RunsReply>, Status> {
         self.gateway.tally.count(Work::Report);
         let report = request.into_inner();
-        let runs: Result<Vec<ReportedRun>, BadField> =
+        let runs: Result<Vec<ReportedRun>, InvalidMessageField> =
             report.runs.into_iter().map(ReportedRun::try_from).collect();
         coordinator::apply_run_report(
             &self.gateway,
@@ -165,7 +165,7 @@
         self.gateway.tally.count(Work::Move);
         let (result, reason) = moves::move_run(&self.gateway, &request.into_inner()).await;
         Ok(Response::new(wire::MoveRunReply {
-            result: convert::move_result_number(result),
+            result: convert::encode_move_result(result),
             reason,
         }))
     }
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -18,7 +18,7 @@
 use crate::kernel::permits::{
     IssuerShare, LimitShare, PERMIT_VALID_FOR, PermitDecision, PermitIssuer, RequestedPermits,
 };
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -256,8 +256,8 @@
             limit_per_s: told.per_s.unwrap_or_default(),
             named_ms_ago: millis(told.age),
         };
-        let called = match self.peers.site_at(&address) {
-            Ok(mut client) => within(ASK_TIMEOUT, client.permit(request)).await,
+        let called = match self.peers.site_client(&address) {
+            Ok(mut client) => call_with_timeout(ASK_TIMEOUT, client.permit(request)).await,
             Err(status) => Err(status),
         };
         match called {
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -11,7 +11,7 @@
 use super::ownership::{owner_address, record_owner_call};
 use super::runs::UnavailableEngines;
 use crate::kernel::engine_ledger::ReportedRun;
-use crate::peer::client::within;
+use crate::peer::client::call_with_timeout;
 use crate::peer::generated as wire;
 
 /// Longest wait for the owner to accept a report.
@@ -86,8 +86,8 @@
         dead: unavailable.gone.into_iter().collect(),
         resting: unavailable.cooling_down.into_iter().collect(),
     };
-    let response = match gateway.peers.site_at(&address) {
-        Ok(mut client) => within(REPORT_TIMEOUT, client.report_runs(report)).await,
+    let response = match gateway.peers.site_client(&address) {
+        Ok(mut client) => call_with_timeout(REPORT_TIMEOUT, client.report_runs(report)).await,
         Err(status) => Err(status),
     };
     record_owner_call(gateway, service, response.is_ok());
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -303,7 +303,10 @@
             self.record_store_failure(subject, head_at.saturating_sub(ago));
         }
         let transfer = TransferGuard::start(&self.shard(subject).transfers);
-        let page = response.rest().await.map_err(StoreError::NoAnswer)?;
+        let page = response
+            .receive_rest()
+            .await
+            .map_err(StoreError::NoAnswer)?;
         drop(transfer);
         let records = page.decode();
         let records = records.map_err(|fault| StoreError::Malformed(fault.to_string()))?;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, one per address.
+//! Client connections to peers, one per address.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,94 +14,102 @@
 use crate::peer::generated as wire;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A peer that is gone without a word is noticed after this long twice over, and then connected to anew.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// Interval of keepalive probes, and the timeout for their replies. A peer that disappears without
+/// closing the connection is detected after twice this time; a new connection is made then.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const MESSAGE_MAX_BYTES: usize = 64 << 20;
 
-/// Connections to peers; made lazily, reconnected by the library.
+/// Connections to peers. They are established on the first call, and the library reconnects them.
 #[derive(Default)]
 pub(crate) struct PeerClients {
-    channels: Mutex<HashMap<String, KeptChannel>>,
+    channels: Mutex<HashMap<String, PooledChannel>>,
 }
 
 /// A connection to a peer.
-struct KeptChannel {
+struct PooledChannel {
     channel: Channel,
-    /// Whether a call began on it since the unused ones were last dropped.
+    /// Whether a call started on it since the last [`PeerClients::drop_idle`].
     used: bool,
 }
 
 impl PeerClients {
-    /// A client for the peer at an address.
-    pub(crate) fn to(&self, address: &str) -> Result<PeerClient<Channel>, tonic::Status> {
+    /// Returns a client of the `Peer` service at an address.
+    pub(crate) fn peer_client(&self, address: &str) -> Result<PeerClient<Channel>, tonic::Status> {
         let channel = self.channel(address)?;
         Ok(PeerClient::new(channel).max_decoding_message_size(MESSAGE_MAX_BYTES))
     }
 
-    /// A client for the peer at an address that serves routes.
-    pub(crate) fn site_at(&self, address: &str) -> Result<SiteClient<Channel>, tonic::Status> {
+    /// Returns a client of the `Site` service at an address. Instances that serve routes offer it.
+    pub(crate) fn site_client(&self, address: &str) -> Result<SiteClient<Channel>, tonic::Status> {
         let channel = self.channel(address)?;
         Ok(SiteClient::new(channel).max_decoding_message_size(MESSAGE_MAX_BYTES))
     }
 
-    /// Reads a page of what the store holds, through a peer. Its head comes within the time given, or the call has failed.
+    /// Reads a page of the store's records through a peer. The call fails if the head of the page
+    /// does not arrive within `head_timeout`.
     pub(crate) async fn read_site(
         &self,
         address: &str,
         request: wire::ReadSiteRequest,
         head_timeout: Duration,
-    ) -> Result<ComingPage, String> {
-        let mut client = self.site_at(address).map_err(|status| message(&status))?;
-        ComingPage::begin(head_timeout, client.read_site(request)).await
+    ) -> Result<IncomingPage, String> {
+        let mut client = self
+            .site_client(address)
+            .map_err(|status| message(&status))?;
+        IncomingPage::receive_head(head_timeout, client.read_site(request)).await
     }
 
-    /// Reads the configuration in force at a peer.
+    /// Reads the configuration in force at a peer. The call fails if the head of the page does not
+    /// arrive within `head_timeout`.
     pub(crate) async fn fetch_routes(
         &self,
         address: &str,
         request: wire::FetchRoutesRequest,
         head_timeout: Duration,
     ) -> Result<EncodedPage, String> {
-        let mut client = self.site_at(address).map_err(|status| message(&status))?;
-        let coming = ComingPage::begin(head_timeout, client.fetch_routes(request)).await?;
-        coming.rest().await
+        let mut client = self
+            .site_client(address)
+            .map_err(|status| message(&status))?;
+        let page = IncomingPage::receive_head(head_timeout, client.fetch_routes(request)).await?;
+        page.receive_rest().await
     }
 
     fn channel(&self, address: &str) -> Result<Channel, tonic::Status> {
         let mut channels = self.channels.lock();
-        let channel = if let Some(kept) = channels.get_mut(address) {
-            kept.used = true;
-            kept.channel.clone()
+        let channel = if let Some(pooled) = channels.get_mut(address) {
+            pooled.used = true;
+            pooled.channel.clone()
         } else {
             let endpoint = Endpoint::from_shared(format!("http://{address}"))
                 .map_err(|error| tonic::Status::invalid_argument(error.to_string()))?;
             let channel = endpoint
                 .connect_timeout(CONNECT_TIMEOUT)
                 .tcp_nodelay(true)
-                .tcp_keepalive(Some(KEEPALIVE))
-                .http2_keep_alive_interval(KEEPALIVE)
-                .keep_alive_timeout(KEEPALIVE)
+                .tcp_keepalive(Some(KEEPALIVE_INTERVAL))
+                .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
+                .keep_alive_timeout(KEEPALIVE_INTERVAL)
                 .connect_lazy();
-            let kept = KeptChannel {
+            let pooled = PooledChannel {
                 channel: channel.clone(),
                 used: true,
             };
-            channels.insert(address.to_owned(), kept);
+            channels.insert(address.to_owned(), pooled);
             channel
         };
         Ok(channel)
     }
 
-    /// Drops connections on which no call began since the last time. Calls in flight keep theirs until they end.
-    pub(crate) fn drop_unused(&self) {
+    /// Drops the connections on which no call started since the previous invocation. Calls in
+    /// flight keep their connection until they end.
+    pub(crate) fn drop_idle(&self) {
         self.channels
             .lock()
-            .retain(|_, kept| std::mem::replace(&mut kept.used, false));
+            .retain(|_, pooled| std::mem::replace(&mut pooled.used, false));
     }
 
-    /// Drops connections to addresses that no peer has any more.
-    pub(crate) fn retain(&self, known: impl Fn(&str) -> bool) {
-        self.channels.lock().retain(|address, _| known(address));
+    /// Drops the connections to addresses for which `is_known` returns false.
+    pub(crate) fn retain(&self, is_known: impl Fn(&str) -> bool) {
+        self.channels.lock().retain(|address, _| is_known(address));
     }
 }
 
@@ -109,43 +117,44 @@
     status.message().to_owned()
 }
 
-/// A page whose head has come; its other parts are on their way.
-pub(crate) struct ComingPage {
-    /// What the peer says of the page.
+/// A page whose head has arrived while its other chunks are still in transit.
+pub(crate) struct IncomingPage {
+    /// Metadata of the page, sent by the peer with the first chunk.
     pub(crate) head: wire::PageHead,
-    first: Bytes,
-    parts: tonic::Streaming<wire::SitePart>,
+    first_chunk: Bytes,
+    chunks: tonic::Streaming<wire::SitePart>,
 }
 
-impl ComingPage {
-    async fn begin(
+impl IncomingPage {
+    /// Makes a call and waits for the first chunk of its page.
+    async fn receive_head(
         head_timeout: Duration,
         call: impl Future<
             Output = Result<tonic::Response<tonic::Streaming<wire::SitePart>>, tonic::Status>,
         >,
     ) -> Result<Self, String> {
-        let begun = async {
-            let mut parts = call.await?.into_inner();
-            let first = parts.message().await?;
-            let first = first.ok_or_else(|| tonic::Status::data_loss("a page without parts"))?;
+        let receiving = async {
+            let mut chunks = call.await?.into_inner();
+            let first = chunks.message().await?;
+            let first = first.ok_or_else(|| tonic::Status::data_loss("page without chunks"))?;
             let head = first.head.unwrap_or_default();
             Ok(tonic::Response::new(Self {
                 head,
-                first: first.bytes.into(),
-                parts,
+                first_chunk: first.bytes.into(),
+                chunks,
             }))
         };
-        within(head_timeout, begun)
+        call_with_timeout(head_timeout, receiving)
             .await
             .map_err(|status| message(&status))
     }
 
-    /// The page, once all its parts have come.
-    pub(crate) async fn rest(self) -> Result<EncodedPage, String> {
-        let first = futures::stream::iter([Ok(self.first)]);
+    /// Receives the remaining chunks and returns the complete page.
+    pub(crate) async fn receive_rest(self) -> Result<EncodedPage, String> {
+        let first = futures::stream::iter([Ok(self.first_chunk)]);
         let others = self
-            .parts
-            .map(|part| part.map(|part| Bytes::from(part.bytes)));
+            .chunks
+            .map(|chunk| chunk.map(|chunk| Bytes::from(chunk.bytes)));
         let bytes = parts::collect(first.chain(others), parts::SILENCE_MAX).await;
         Ok(EncodedPage {
             compressed: self.head.compressed,
@@ -154,12 +163,12 @@
     }
 }
 
-/// A call with a time limit.
-pub(crate) async fn within<T>(
-    limit: Duration,
+/// Awaits a call and returns its message, or an error with code `DeadlineExceeded` on timeout.
+pub(crate) async fn call_with_timeout<T>(
+    timeout: Duration,
     call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
 ) -> Result<T, tonic::Status> {
-    let answered = tokio::time::timeout(limit, call).await;
-    let answered = answered.map_err(|_| tonic::Status::deadline_exceeded("no answer in time"))?;
-    answered.map(tonic::Response::into_inner)
+    let response = tokio::time::timeout(timeout, call).await;
+    let response = response.map_err(|_| tonic::Status::deadline_exceeded("no response in time"))?;
+    response.map(tonic::Response::into_inner)
 }
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the kernel's types and the messages between instances.
+//! Conversions between the kernel's types and the messages exchanged by instances.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
 use crate::kernel::membership::{Incarnation, PeerStatus};
 use crate::kernel::position::Position;
 
-/// A field of a message that cannot be read.
+/// A field of a peer's message is missing or invalid; contains its name.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
-#[error("field {0} of a peer's message cannot be read")]
-pub struct BadField(pub(crate) &'static str);
+#[error("field {0} of a peer's message is missing or invalid")]
+pub struct InvalidMessageField(pub(crate) &'static str);
 
-impl From<BadField> for tonic::Status {
-    fn from(bad: BadField) -> Self {
-        Self::invalid_argument(bad.to_string())
+impl From<InvalidMessageField> for tonic::Status {
+    fn from(error: InvalidMessageField) -> Self {
+        Self::invalid_argument(error.to_string())
     }
 }
 
-/// Reads an id.
-pub(crate) fn id(text: &str, field: &'static str) -> Result<Uuid, BadField> {
-    text.parse().map_err(|_| BadField(field))
+/// Parses the id in the named field of a message.
+pub(crate) fn parse_id(text: &str, field: &'static str) -> Result<Uuid, InvalidMessageField> {
+    text.parse().map_err(|_| InvalidMessageField(field))
 }
 
 impl From<&Incarnation> for wire::Incarnation {
@@ -42,11 +42,11 @@
 }
 
 impl TryFrom<wire::Incarnation> for Incarnation {
-    type Error = BadField;
+    type Error = InvalidMessageField;
 
-    fn try_from(message: wire::Incarnation) -> Result<Self, BadField> {
+    fn try_from(message: wire::Incarnation) -> Result<Self, InvalidMessageField> {
         Ok(Self {
-            id: id(&message.id, "incarnation")?,
+            id: parse_id(&message.id, "incarnation")?,
             name: message.name,
         })
     }
@@ -68,10 +68,12 @@
 }
 
 impl TryFrom<wire::Status> for PeerStatus {
-    type Error = BadField;
+    type Error = InvalidMessageField;
 
-    fn try_from(message: wire::Status) -> Result<Self, BadField> {
-        let incarnation = message.incarnation.ok_or(BadField("incarnation"))?;
+    fn try_from(message: wire::Status) -> Result<Self, InvalidMessageField> {
+        let incarnation = message
+            .incarnation
+            .ok_or(InvalidMessageField("incarnation"))?;
         Ok(Self {
             incarnation: incarnation.try_into()?,
             hall: message.hall,
@@ -149,51 +151,54 @@
 }
 
 impl From<&SuspectReport> for wire::Suspect {
-    fn from(told: &SuspectReport) -> Self {
-        let ends = told.crashes.iter().map(|end| wire::EndpointEnd {
-            endpoint: end.endpoint,
-            software: end.software,
-            beginning: end.at_start,
+    fn from(report: &SuspectReport) -> Self {
+        let crashes = report.crashes.iter().map(|crash| wire::EndpointEnd {
+            endpoint: crash.endpoint,
+            software: crash.software,
+            beginning: crash.at_start,
         });
         Self {
-            head: told.fingerprint.head.0,
-            whole: told.fingerprint.full.to_be_bytes().to_vec(),
-            life: told.epoch,
-            innocent: told.innocent,
-            ran_on: told.ran_past_start,
-            ends: ends.collect(),
-            last_end_ms_ago: millis(told.last_crash_age),
-            sound_on: told.finished_on.clone(),
+            head: report.fingerprint.head.0,
+            whole: report.fingerprint.full.to_be_bytes().to_vec(),
+            life: report.epoch,
+            innocent: report.innocent,
+            ran_on: report.ran_past_start,
+            ends: crashes.collect(),
+            last_end_ms_ago: millis(report.last_crash_age),
+            sound_on: report.finished_on.clone(),
         }
     }
 }
 
 impl TryFrom<wire::Suspect> for SuspectReport {
-    type Error = BadField;
-
-    fn try_from(message: wire::Suspect) -> Result<Self, BadField> {
-        let whole = message.whole.try_into().map_err(|_| BadField("whole"))?;
-        let ends = message.ends.into_iter().map(|end| EndpointCrash {
-            endpoint: end.endpoint,
-            software: end.software,
-            at_start: end.beginning,
+    type Error = InvalidMessageField;
+
+    fn try_from(message: wire::Suspect) -> Result<Self, InvalidMessageField> {
+        let full = message
+            .whole
+            .try_into()
+            .map_err(|_| InvalidMessageField("whole"))?;
+        let crashes = message.ends.into_iter().map(|crash| EndpointCrash {
+            endpoint: crash.endpoint,
+            software: crash.software,
+            at_start: crash.beginning,
         });
         Ok(Self {
             fingerprint: RequestFingerprint {
                 head: HeadHash(message.head),
-                full: u128::from_be_bytes(whole),
+                full: u128::from_be_bytes(full),
             },
             epoch: message.life,
             innocent: message.innocent,
             ran_past_start: message.ran_on,
-            crashes: ends.collect(),
+            crashes: crashes.collect(),
             last_crash_age: Duration::from_millis(message.last_end_ms_ago),
             finished_on: message.sound_on,
         })
     }
 }
 
-/// A request for a place, for the owner of a group.
+/// Encodes a reservation request to the owner of a group.
 pub(crate) fn reserve_to_wire(group: &str, request: &ReserveRequest) -> wire::ReserveRequest {
     wire::ReserveRequest {
         group: group.to_owned(),
@@ -211,10 +216,12 @@
     }
 }
 
-/// The same, read by the owner.
-pub(crate) fn reserve_from_wire(message: wire::ReserveRequest) -> Result<ReserveRequest, BadField> {
+/// Decodes a reservation request at the owner of the group.
+pub(crate) fn reserve_from_wire(
+    message: wire::ReserveRequest,
+) -> Result<ReserveRequest, InvalidMessageField> {
     Ok(ReserveRequest {
-        reservation_id: id(&message.reservation_id, "reservation_id")?,
+        reservation_id: parse_id(&message.reservation_id, "reservation_id")?,
         entry: message.entry,
         account: message.account,
         share: message.share,
@@ -236,7 +243,7 @@
     fn from(demand: &RunDemand) -> Self {
         #[expect(
             clippy::cast_possible_truncation,
-            reason = "a guess needs no more digits"
+            reason = "an estimate needs no more precision"
         )]
         let made_hint_tokens = demand.made_hint_tokens.unwrap_or_default() as f32;
         Self {
@@ -273,24 +280,24 @@
 }
 
 impl TryFrom<wire::Run> for ReportedRun {
-    type Error = BadField;
+    type Error = InvalidMessageField;
 
-    fn try_from(message: wire::Run) -> Result<Self, BadField> {
+    fn try_from(message: wire::Run) -> Result<Self, InvalidMessageField> {
         Ok(Self {
-            demand: message.demand.ok_or(BadField("demand"))?.into(),
+            demand: message.demand.ok_or(InvalidMessageField("demand"))?.into(),
             endpoint: message.endpoint,
             made_tokens: message.made_tokens,
         })
     }
 }
 
-/// Reads the owner's answer; nothing where there is no room.
-pub(crate) fn granted(reply: wire::PlaceReply) -> Option<String> {
+/// Returns the endpoint that the owner granted, or `None` if there is no capacity.
+pub(crate) fn granted_endpoint(reply: wire::PlaceReply) -> Option<String> {
     non_empty(reply.endpoint)
 }
 
-/// Reads how a move ended.
-pub(crate) fn move_result(number: u32) -> MoveResult {
+/// Decodes the result of a move.
+pub(crate) fn decode_move_result(number: u32) -> MoveResult {
     match number {
         0 => MoveResult::Copied,
         1 => MoveResult::RunGone,
@@ -299,8 +306,8 @@
     }
 }
 
-/// How a move ended, as a number.
-pub(crate) fn move_result_number(result: MoveResult) -> u32 {
+/// Encodes the result of a move as a number.
+pub(crate) fn encode_move_result(result: MoveResult) -> u32 {
     match result {
         MoveResult::Copied => 0,
         MoveResult::RunGone => 1,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Calls between instances, over tonic.
+//! Calls between instances, over gRPC.
 
 pub(crate) mod client;
 pub(crate) mod convert;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! What peers may ask of this instance.
+//! The `Peer` service, through which peers call this instance.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -6,19 +6,18 @@
 use futures::{Stream, StreamExt};
 use tonic::{Request, Response, Status};
 
-use super::convert::{id, reserve_from_wire};
+use super::convert::{parse_id, reserve_from_wire};
 use super::generated as wire;
 use super::generated::peer_server::Peer;
 use crate::daemon::node::Node;
 use crate::daemon::{config_loop, member_loop, serve};
 
-/// The peers' side of an instance.
+/// Implements the `Peer` service for a node.
 pub(crate) struct PeerService {
     node: Arc<Node>,
 }
 
 impl PeerService {
-    /// Serves for a node.
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -74,7 +73,7 @@
     ) -> Result<Response<wire::ReportReply>, Status> {
         let message = request.into_inner();
         for progress in message.progress {
-            let reservation_id = id(&progress.reservation_id, "reservation_id")?;
+            let reservation_id = parse_id(&progress.reservation_id, "reservation_id")?;
             self.node
                 .take_progress(&message.group, reservation_id, &progress);
         }
