--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -1,13 +1,14 @@
-//! Failures that were found once, each named after what went wrong.
+//! Regression tests, each named after the failure that it guards against.
 
 mod support;
 
 use serde_json::json;
 use support::{Site, complete, objects, until_serving};
 
-/// Three groups were asked at most, so that halls without a live endpoint could use up the tries while another had room.
+/// Guards against a placement that fails while a group still has capacity: with a limit of three
+/// groups per request, halls without a live endpoint can use up all attempts.
 #[tokio::test(flavor = "multi_thread")]
-async fn placement_dead_halls_used_up_the_tries() {
+async fn placement_dead_halls_live_group_reached() {
     let site = Site::new();
     let engine = site.engine("e1", &json!({"step_us": 1000}));
     let mut published = objects("live", &[("e1", &engine)], &[]);
@@ -15,7 +16,7 @@
         let hall = format!("dead-{index}");
         let list = published.as_array_mut().expect("list");
         list.push(json!({"kind": "hall", "name": hall, "region": "test"}));
-        // Nothing listens there.
+        // Nothing listens on this port.
         list.push(json!({"kind": "endpoint", "name": format!("gone-{index}"), "hall": hall, "address": "127.0.0.1:1",
             "type": "engine", "kv_capacity_tokens": 1000, "checks_fence": true}));
     }
@@ -23,20 +24,21 @@
     let instance = site.instance("i1", "dead-0");
     until_serving(&instance).await;
     for _ in 0..20 {
-        let answered = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
-        assert_eq!(answered.status, 200, "{answered:?}");
+        let response = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
+        assert_eq!(response.status, 200, "{response:?}");
     }
 }
 
-/// Rocket printed a line of its own on standard output before a process's addresses, about once in a hundred starts: its level of
-/// logging is global, and a server that launches raises it for the others.
+/// Guards against a log line of Rocket on standard output before the addresses of a process, which
+/// appears in about one of a hundred starts: Rocket's log level is global, and a server raises it
+/// for the others while it launches.
 #[test]
 fn start_rocket_line_before_addresses() {
     let site = Site::new();
-    let started: Vec<_> = (0..24)
+    let processes: Vec<_> = (0..24)
         .map(|index| site.service(&format!("s{index}")))
         .collect();
-    for process in &started {
+    for process in &processes {
         assert!(process.addresses["address"].is_string());
     }
 }
