--- a/src/daemon/member_loop.rs
+++ b/src/daemon/member_loop.rs
@@ -12,8 +12,8 @@
 use crate::kernel::gossip::Gossip;
 use crate::kernel::membership::{Incarnation, ListedPeer, PeerStatus};
 use crate::log_service::ListedInstance;
-use crate::peer::client::within;
-use crate::peer::convert::BadField;
+use crate::peer::client::call_with_timeout;
+use crate::peer::convert::InvalidMessageField;
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
@@ -54,8 +54,11 @@
 pub(crate) fn handle_heartbeat(
     node: &Arc<Node>,
     heartbeat: wire::Beat,
-) -> Result<String, BadField> {
-    let status: PeerStatus = heartbeat.status.ok_or(BadField("status"))?.try_into()?;
+) -> Result<String, InvalidMessageField> {
+    let status: PeerStatus = heartbeat
+        .status
+        .ok_or(InvalidMessageField("status"))?
+        .try_into()?;
     let now = node.now();
     let mut departed = Vec::new();
     for incarnation in heartbeat.departures {
@@ -101,10 +104,10 @@
 
 /// Sends a heartbeat to the peer `to` and applies the one in its reply.
 async fn send_heartbeat(node: Arc<Node>, to: String, address: String) {
-    let Ok(mut client) = node.peers.to(&address) else {
+    let Ok(mut client) = node.peers.peer_client(&address) else {
         return;
     };
-    if let Ok(reply) = within(
+    if let Ok(reply) = call_with_timeout(
         HEARTBEAT_TIMEOUT,
         client.heartbeat(build_heartbeat(&node, &to)),
     )
