--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -136,7 +136,7 @@
         let receiving = async {
             let mut chunks = call.await?.into_inner();
             let first = chunks.message().await?;
-            let first = first.ok_or_else(|| tonic::Status::data_loss("page without chunks"))?;
+            let first = first.ok_or_else(|| tonic::Status::data_loss("a page without parts"))?;
             let head = first.head.unwrap_or_default();
             Ok(tonic::Response::new(Self {
                 head,
@@ -169,6 +169,6 @@
     call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
 ) -> Result<T, tonic::Status> {
     let response = tokio::time::timeout(timeout, call).await;
-    let response = response.map_err(|_| tonic::Status::deadline_exceeded("no response in time"))?;
+    let response = response.map_err(|_| tonic::Status::deadline_exceeded("no answer in time"))?;
     response.map(tonic::Response::into_inner)
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -169,7 +169,7 @@
         let sending = request(&pooled.client).send();
         let Ok(sent) = tokio::time::timeout(head_timeout, sending).await else {
             self.replace_client(&pooled);
-            return Err(StoreError::NoAnswer("no response in time".to_owned()));
+            return Err(StoreError::NoAnswer("no answer in time".to_owned()));
         };
         let response = sent.map_err(|error| {
             if error.is_connect() {
