--- a/src/caller/render.rs
+++ b/src/caller/render.rs
@@ -64,7 +64,7 @@
 /// A typed error as a whole answer.
 pub(super) fn error_answer(request_id: Uuid, error: &Error) -> CallerAnswer {
     let body = error.body();
-    let status = Status::new(error.kind.answer().status);
+    let status = Status::new(error.kind.response_rule().status);
     let text = serde_json::to_vec(&body).unwrap_or_default();
     CallerAnswer {
         retry_after_ms: body.error.retry_after_ms,
--- a/src/daemon/app.rs
+++ b/src/daemon/app.rs
@@ -65,7 +65,7 @@
     /// # Errors
     /// Returns an error if the settings are invalid or an address cannot be bound.
     pub async fn start(settings: Settings) -> anyhow::Result<Self> {
-        settings.check()?;
+        settings.validate()?;
         let platform =
             log_service::connect(&settings.platform.plugin, &settings.platform.addresses)?;
         Self::start_with_platform(settings, platform).await
@@ -79,7 +79,7 @@
         settings: Settings,
         platform: Platform,
     ) -> anyhow::Result<Self> {
-        settings.check()?;
+        settings.validate()?;
         let metrics = metrics_handle()?;
         let node = Arc::new(Node::new(
             settings,
--- a/src/daemon/endpoints.rs
+++ b/src/daemon/endpoints.rs
@@ -229,7 +229,7 @@
     if !node.endpoints.try_start_poll(&object.name) {
         return;
     }
-    let reply = tokio::time::timeout(POLL_TIMEOUT, client.load()).await;
+    let reply = tokio::time::timeout(POLL_TIMEOUT, client.load_report()).await;
     if let Ok(Ok(report)) = reply {
         if report.leaving {
             let incarnation = Incarnation {
--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -18,7 +18,7 @@
 use super::reservations::Reservation;
 use super::response::{ResponseEvent, ResponseSink};
 use crate::endpoint::protocol::{EngineEvent, FinishReason, GenerationRequest, Started};
-use crate::endpoint::{Endpoint, EngineStream, ResumeError, ResumeFrom};
+use crate::endpoint::{Endpoint, EngineStream, ResumeError, ResumePosition};
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::attempt::{AttemptFailure, FailedAttempts, UnsentAttempt};
 use crate::kernel::membership::rendezvous_weight;
@@ -486,7 +486,7 @@
     ) -> Result<EngineStream, String> {
         let timeout = ms(self.node.settings.times.resume_patience_ms);
         let retry_until = self.node.now() + timeout;
-        let from = ResumeFrom {
+        let from = ResumePosition {
             number: source.generation.number,
             incarnation: source.generation.incarnation,
             account: self.account,
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -294,7 +294,7 @@
     if timeout.is_zero() {
         return;
     }
-    let result = client.order(&order, timeout).await;
+    let result = client.send_order(&order, timeout).await;
     record_order(node, &assignment.endpoint, order, result);
 }
 
--- a/src/daemon/response.rs
+++ b/src/daemon/response.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
 
-use crate::endpoint::ServiceAnswer;
+use crate::endpoint::ServiceResponse;
 use crate::endpoint::protocol::FinishReason;
 use crate::error::{Error, ErrorDetail, Outcome};
 
@@ -44,7 +44,7 @@
         entries: Vec<String>,
     },
     /// The response of a plain service.
-    Service(ServiceAnswer),
+    Service(ServiceResponse),
     /// The request failed.
     Error(ErrorDetail),
 }
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -9,7 +9,7 @@
 use super::node::Node;
 use super::request::{CallerRequest, RequestedWork};
 use super::response::{ResponseEvent, ResponseSink};
-use crate::endpoint::{ServiceAnswer, ServiceCall};
+use crate::endpoint::{ServiceCall, ServiceResponse};
 use crate::error::{Error, ErrorKind, Result};
 use crate::kernel::attempt::{AttemptFailure, FailedAttempts, UnsentAttempt};
 use crate::kernel::object::Endpoint as EndpointObject;
@@ -29,7 +29,7 @@
 ///
 /// A failed attempt that may have run is retried only if the request is repeatable. Each retry is
 /// charged to the retry budget of the account.
-async fn call_service(node: &Arc<Node>, request: &CallerRequest) -> Result<ServiceAnswer> {
+async fn call_service(node: &Arc<Node>, request: &CallerRequest) -> Result<ServiceResponse> {
     let RequestedWork::Service {
         service,
         path,
@@ -84,7 +84,7 @@
             endpoint = endpoint.name.as_str(),
         });
         let timeout = deadline.saturating_sub(node.now());
-        match client.call(attempt, &call, timeout).await {
+        match client.call_service(attempt, &call, timeout).await {
             Ok(response) => return Ok(response),
             Err(AttemptFailure::MayHaveRun(error)) if !request.options.repeatable => {
                 return Err(error);
--- a/src/endpoint/http.rs
+++ b/src/endpoint/http.rs
@@ -15,8 +15,8 @@
     OrderStatus, REQUEST_ID_HEADER, Started,
 };
 use super::{
-    Endpoint, EndpointPlugin, EngineStream, OrderError, ResumeError, ResumeFrom, ServiceAnswer,
-    ServiceCall, StreamBroken, plain_client,
+    Endpoint, EndpointPlugin, EngineStream, OrderError, ResumeError, ResumePosition, ServiceCall,
+    ServiceResponse, StreamError, no_retry_client,
 };
 use crate::kernel::attempt::{AttemptFailure, SentAttempt, UnsentAttempt};
 use crate::kernel::policy::LoadReport;
@@ -38,7 +38,7 @@
     Ok(Arc::new(HttpEndpoint {
         name: name.to_owned(),
         base: format!("http://{address}"),
-        client: plain_client(Duration::from_secs(1))?,
+        client: no_retry_client(Duration::from_secs(1))?,
     }))
 }
 
@@ -49,8 +49,8 @@
         LinesCodec::new_with_max_length(LINE_MAX_BYTES),
     );
     let events = lines.map(|line| {
-        let line = line.map_err(|error| StreamBroken(error.to_string()))?;
-        serde_json::from_str(&line).map_err(|error| StreamBroken(error.to_string()))
+        let line = line.map_err(|error| StreamError(error.to_string()))?;
+        serde_json::from_str(&line).map_err(|error| StreamError(error.to_string()))
     });
     Box::pin(events)
 }
@@ -143,7 +143,7 @@
         }
     }
 
-    async fn resume(&self, from: &ResumeFrom<'_>) -> Result<EngineStream, ResumeError> {
+    async fn resume(&self, from: &ResumePosition<'_>) -> Result<EngineStream, ResumeError> {
         let unreachable = |why: String| ResumeError::Unreachable(why);
         let path = format!("/v1/generations/{}?from={}", from.number, from.index);
         let sending = self.client.get(self.url(&path)).send();
@@ -175,7 +175,7 @@
         let _ = request.send().await;
     }
 
-    async fn load(&self) -> anyhow::Result<LoadReport> {
+    async fn load_report(&self) -> anyhow::Result<LoadReport> {
         self.get_json("/v1/load").await
     }
 
@@ -184,7 +184,11 @@
             .await
     }
 
-    async fn order(&self, order: &Order, timeout: Duration) -> Result<OrderStatus, OrderError> {
+    async fn send_order(
+        &self,
+        order: &Order,
+        timeout: Duration,
+    ) -> Result<OrderStatus, OrderError> {
         let unreachable = |error: reqwest::Error| OrderError::Unreachable(error.to_string());
         let request = self.client.post(self.url("/v1/orders")).json(order);
         let response = request.timeout(timeout).send().await.map_err(unreachable)?;
@@ -198,12 +202,12 @@
         response.json().await.map_err(unreachable)
     }
 
-    async fn call(
+    async fn call_service(
         &self,
         attempt: UnsentAttempt,
         call: &ServiceCall,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, AttemptFailure> {
+    ) -> Result<ServiceResponse, AttemptFailure> {
         let http = self
             .client
             .post(self.url(&format!("/{}", call.path)))
@@ -225,7 +229,7 @@
             .unwrap_or("application/octet-stream")
             .to_owned();
         match tokio::time::timeout(timeout, response.bytes()).await {
-            Ok(Ok(body)) => Ok(ServiceAnswer {
+            Ok(Ok(body)) => Ok(ServiceResponse {
                 status,
                 content_type,
                 body: body.to_vec(),
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -17,12 +17,12 @@
 use protocol::{CacheEvent, EngineEvent, GenerationRequest, Order, OrderStatus};
 
 /// Events of a generation; an error means that the connection broke.
-pub type EngineStream = Pin<Box<dyn Stream<Item = Result<EngineEvent, StreamBroken>> + Send>>;
+pub type EngineStream = Pin<Box<dyn Stream<Item = Result<EngineEvent, StreamError>> + Send>>;
 
 /// The connection that carried a stream broke.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("connection to the endpoint broke: {0}")]
-pub struct StreamBroken(pub String);
+pub struct StreamError(pub String);
 
 /// Why a generation cannot be resumed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -37,7 +37,7 @@
 
 /// Which generation to resume and from where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ResumeFrom<'a> {
+pub struct ResumePosition<'a> {
     /// The engine's number.
     pub number: u64,
     /// Incarnation that has it.
@@ -65,7 +65,7 @@
 
 /// Answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
@@ -98,22 +98,23 @@
         request: &GenerationRequest,
     ) -> Result<EngineStream, AttemptFailure>;
     /// Reads a generation from an index on, starting with its `Started` event.
-    async fn resume(&self, from: &ResumeFrom<'_>) -> Result<EngineStream, ResumeError>;
+    async fn resume(&self, from: &ResumePosition<'_>) -> Result<EngineStream, ResumeError>;
     /// Cancels a generation; with `unless_read`, only if nobody reads it.
     async fn cancel(&self, number: u64, incarnation: Uuid, unless_read: bool);
     /// The last load report.
-    async fn load(&self) -> anyhow::Result<LoadReport>;
+    async fn load_report(&self) -> anyhow::Result<LoadReport>;
     /// Cache events after a sequence number.
     async fn cache_events(&self, after_sequence: u64) -> anyhow::Result<Vec<CacheEvent>>;
     /// Gives a fenced order.
-    async fn order(&self, order: &Order, timeout: Duration) -> Result<OrderStatus, OrderError>;
+    async fn send_order(&self, order: &Order, timeout: Duration)
+    -> Result<OrderStatus, OrderError>;
     /// Calls a plain service.
-    async fn call(
+    async fn call_service(
         &self,
         attempt: UnsentAttempt,
         call: &ServiceCall,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, AttemptFailure>;
+    ) -> Result<ServiceResponse, AttemptFailure>;
 }
 
 /// A registered endpoint plug-in.
@@ -157,7 +158,7 @@
 ///
 /// # Errors
 /// The client cannot be built.
-pub fn plain_client(connect_timeout: Duration) -> reqwest::Result<reqwest::Client> {
+pub fn no_retry_client(connect_timeout: Duration) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .retry(reqwest::retry::never())
         .redirect(reqwest::redirect::Policy::none())
--- a/src/error.rs
+++ b/src/error.rs
@@ -72,7 +72,7 @@
 
 /// One row of the table from kind to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerRow {
+pub struct ResponseRule {
     /// HTTP status code.
     pub status: u16,
     /// What the caller may believe about the request.
@@ -114,7 +114,7 @@
 
     /// The answer for this kind.
     #[must_use]
-    pub const fn answer(self) -> AnswerRow {
+    pub const fn response_rule(self) -> ResponseRule {
         use Outcome::{NotRun, RanPartly, Unknown};
         match self {
             Self::BadRequest | Self::TicketRequired => row(400, NotRun, None, false),
@@ -148,12 +148,12 @@
     outcome: Outcome,
     retry_after_ms: Option<u64>,
     retry_elsewhere: bool,
-) -> AnswerRow {
+) -> ResponseRule {
     let retry_after = match retry_after_ms {
         Some(ms) => Some(Duration::from_millis(ms)),
         None => None,
     };
-    AnswerRow {
+    ResponseRule {
         status,
         outcome,
         retry_after,
@@ -182,7 +182,7 @@
         Self {
             kind,
             message: message.into(),
-            retry_after: kind.answer().retry_after,
+            retry_after: kind.response_rule().retry_after,
         }
     }
 
@@ -199,7 +199,7 @@
         ErrorBody {
             error: ErrorDetail {
                 kind: self.kind,
-                outcome: self.kind.answer().outcome,
+                outcome: self.kind.response_rule().outcome,
                 message: self.message.clone(),
                 retry_after_ms: self.retry_after.map(crate::kernel::clock::millis),
             },
--- a/src/gateway/aborted_requests.rs
+++ b/src/gateway/aborted_requests.rs
@@ -114,7 +114,7 @@
         let presence = self.endpoint_presence().await;
         metrics::counter!("larkwick_broken_off_total", "endpoint" => format!("{presence:?}"))
             .increment(1);
-        if crate::log::admits("endpoint broke off") {
+        if crate::log::should_log("endpoint broke off") {
             info!("endpoint broke off", kv: {
                 request_id = self.request_id.as_str(),
                 content: = self.fingerprint,
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -70,7 +70,7 @@
         settings_file: Option<&Path>,
         clock: Arc<dyn Clock>,
     ) -> anyhow::Result<Self> {
-        settings.check()?;
+        settings.validate()?;
         let mut settings = settings;
         let listeners = Listeners::bind(&mut settings).await?;
         let routing = settings
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -82,7 +82,7 @@
         Ok(granted) => granted,
         Err(status) => {
             record_owner_call(gateway, service, false);
-            if crate::log::admits("owner not reached") {
+            if crate::log::should_log("owner not reached") {
                 warn!("owner not reached; placing alone", kv: {
                     request_id = demand.run.as_str(), service, owner = address.as_str(), why = status.message(),
                 });
@@ -368,7 +368,7 @@
     };
     let now = gateway.now();
     let took_ms = millis(now.saturating_sub(started_at));
-    if crate::log::admits("move ended") {
+    if crate::log::should_log("move ended") {
         info!("move ended", kv: {
             request_id = order.run.as_str(), source = order.source.as_str(), target = order.target.as_str(),
             result:?, reason = reason.as_str(), took_ms:,
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -127,7 +127,7 @@
 /// Returns the error for a request that is sent to no endpoint.
 pub(super) fn refusal_error(call: &Call) -> Error {
     let fingerprint = call.fingerprint();
-    if crate::log::admits("crashing content refused") {
+    if crate::log::should_log("crashing content refused") {
         info!("crashing content refused", kv: {
             request_id = call.head.request_id.as_str(), content: = fingerprint, service = call.service.as_str(),
         });
@@ -288,7 +288,7 @@
         match sync_with_store(&gateway).await {
             Ok(()) => backoff.reset(),
             Err(why) => {
-                if crate::log::admits("content not kept") {
+                if crate::log::should_log("content not kept") {
                     warn!("content not kept", kv: { why = why.as_str() });
                 }
                 let pause = backoff.next_pause(rand::rng().random_range(0.0..1.0));
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -77,7 +77,7 @@
         let is_news = self.rests.lock().start(endpoint, rest, now);
         if is_news {
             metrics::counter!("larkwick_endpoint_rests_total").increment(1);
-            if crate::log::admits("endpoint asks for rest") {
+            if crate::log::should_log("endpoint asks for rest") {
                 info!("endpoint asks for rest", kv: { endpoint, rest_ms: = millis(rest) });
             }
             self.rested.notify_one();
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -61,7 +61,7 @@
     let read = tokio::time::timeout(timeout, fetch_report(gateway, engine)).await;
     let read = read.unwrap_or_else(|_| Err("no answer in time".to_owned()));
     if let Err(reason) = &read
-        && crate::log::admits("engine report not read")
+        && crate::log::should_log("engine report not read")
     {
         info!("engine report not read", kv: { endpoint = engine.id.as_str(), why = reason.as_str() });
     }
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -410,7 +410,7 @@
 }
 
 fn log_placement(call: &Call, demand: &RunDemand, granted: &str) {
-    if crate::log::admits("generation placed") {
+    if crate::log::should_log("generation placed") {
         info!("generation placed", kv: {
             request_id = demand.run.as_str(), endpoint = granted,
             prompt_tokens: = demand.prompt_tokens,
--- a/src/gateway/live_members.rs
+++ b/src/gateway/live_members.rs
@@ -144,7 +144,7 @@
 
 /// Logs which members came and went: with the lines of all instances it shows who held which member for live, and for how long.
 fn tell_change(before: &LiveView, after: &LiveView) {
-    if !crate::log::admits("members live") {
+    if !crate::log::should_log("members live") {
         return;
     }
     let came = names_missing(after, before);
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -69,7 +69,7 @@
         Ok(continuation) => send_command(run, RunCommand::Continue(Box::new(continuation))),
         Err(reason) => {
             send_command(run, RunCommand::StopFailed);
-            if crate::log::admits("generation not stopped") {
+            if crate::log::should_log("generation not stopped") {
                 warn!("generation not stopped", kv: {
                     request_id = run.demand.run.as_str(), source = source.id.as_str(), why = reason.as_str(),
                 });
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -97,7 +97,7 @@
         let named = self.limits.lock().len();
         metrics::gauge!("larkwick_endpoint_limits")
             .set(f64::from(u32::try_from(named).unwrap_or(u32::MAX)));
-        if crate::log::admits("endpoint names a limit") {
+        if crate::log::should_log("endpoint names a limit") {
             info!("endpoint names a limit", kv: { endpoint, change = kind, limit_per_s:?, source });
         }
         !matches!(change, LimitChange::Changed(_))
@@ -161,7 +161,7 @@
         let is_valid = permit.endpoint == endpoint && void_at.is_some_and(|void_at| now < void_at);
         if is_valid {
             metrics::counter!("larkwick_sent_to_limited_total").increment(1);
-            if crate::log::admits("sent to limited endpoint") {
+            if crate::log::should_log("sent to limited endpoint") {
                 info!("sent to limited endpoint", kv: { endpoint, limit_per_s: });
             }
         }
@@ -266,7 +266,7 @@
                 PermitDecision::NotBefore(self.now().saturating_add(ms(reply.not_before_ms)))
             }
             Err(status) => {
-                if crate::log::admits("no answer for a permit") {
+                if crate::log::should_log("no answer for a permit") {
                     warn!("no answer for a permit", kv: {
                         endpoint = told.endpoint.as_str(), giver = address.as_str(), why = status.message(),
                     });
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -108,7 +108,7 @@
     };
     metrics::counter!("larkwick_calls_total", "outcome" => outcome.clone()).increment(1);
     metrics::histogram!("larkwick_call_seconds").record(call.age().as_secs_f64());
-    if crate::log::admits("call ended") {
+    if crate::log::should_log("call ended") {
         info!("call ended", kv: {
             request_id = call.head.request_id.as_str(),
             route = call.route.name.as_str(),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -349,7 +349,7 @@
             .as_ref()
             .err()
             .map_or("begun", |error| &error.message);
-        if crate::log::admits("generation begun anew") {
+        if crate::log::should_log("generation begun anew") {
             info!("generation begun anew", kv: {
                 request_id = self.call.head.request_id.as_str(), why = reason.as_str(), outcome,
                 last_event_id:? = after,
@@ -409,7 +409,7 @@
         let resumed = tokio::time::timeout(RESUME_TIMEOUT, resumed).await;
         let resumed = resumed.unwrap_or_else(|_| Err("no event in time".to_owned()));
         let pause_ms = millis(self.call.gateway.now().saturating_sub(started_at));
-        if crate::log::admits("generation moved") {
+        if crate::log::should_log("generation moved") {
             let outcome = resumed.as_ref().err().map_or("gone on", String::as_str);
             info!("generation moved", kv: {
                 request_id = self.call.head.request_id.as_str(),
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -83,7 +83,7 @@
 fn log_refusal(gateway: &Gateway, refused: &RefusedCall, arrived: Duration) {
     metrics::counter!("larkwick_calls_total", "outcome" => format!("{:?}", refused.error.kind))
         .increment(1);
-    if crate::log::admits("call refused") {
+    if crate::log::should_log("call refused") {
         info!("call refused", kv: {
             request_id = refused.request_id.as_str(),
             kind:? = refused.error.kind,
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -92,7 +92,7 @@
     };
     record_owner_call(gateway, service, response.is_ok());
     if let Err(status) = response
-        && crate::log::admits("report not taken")
+        && crate::log::should_log("report not taken")
     {
         warn!("report not taken", kv: { service, owner = address.as_str(), why = status.message() });
     }
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -203,7 +203,7 @@
         if *source == Source::Store {
             self.record_store_failure(subject, self.clock.now());
         }
-        if crate::log::admits("store source failed") {
+        if crate::log::should_log("store source failed") {
             info!("store source failed", kv: { subject = subject.name(), source:?, why: = error });
         }
     }
@@ -255,7 +255,7 @@
         let shard = self.shard(subject);
         shard.sources.lock().record_success(source);
         let before = shard.last_source.lock().replace(source.clone());
-        if before.as_ref() != Some(source) && crate::log::admits("store source") {
+        if before.as_ref() != Some(source) && crate::log::should_log("store source") {
             info!("store read through", kv: { subject = subject.name(), source:?, before:? });
         }
     }
--- a/src/gateway/started_generation.rs
+++ b/src/gateway/started_generation.rs
@@ -36,7 +36,7 @@
 ) {
     metrics::counter!("larkwick_generations_total", "outcome" => outcome.to_owned()).increment(1);
     metrics::histogram!("larkwick_generation_seconds").record(call.age().as_secs_f64());
-    if crate::log::admits("generation ended") {
+    if crate::log::should_log("generation ended") {
         info!("generation ended", kv: {
             request_id = call.head.request_id.as_str(),
             route = call.route.name.as_str(),
--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -277,7 +277,7 @@
 
 fn log_unreadable(message: &'static str, key: &str, why: &str) {
     metrics::counter!("larkwick_records_unreadable_total").increment(1);
-    if crate::log::admits(message) {
+    if crate::log::should_log(message) {
         warn!("{}", message, kv: { key, why });
     }
 }
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -121,7 +121,7 @@
         others.choose(&mut rand::rng()).cloned()
     }?;
     let stopped = moves::stop_run(gateway, run, &source, &target, false).await;
-    if crate::log::admits("generation taken over") {
+    if crate::log::should_log("generation taken over") {
         let outcome = stopped.as_ref().err().map_or("stopped", String::as_str);
         info!("generation taken over", kv: {
             request_id = call.head.request_id.as_str(), source = source.id.as_str(), why = reason, outcome,
--- a/src/log.rs
+++ b/src/log.rs
@@ -76,7 +76,7 @@
 
 /// Whether a line of this kind may be written now. What is left out is counted, and the count is written with the next second.
 #[must_use]
-pub fn admits(kind: &'static str) -> bool {
+pub fn should_log(kind: &'static str) -> bool {
     let left_out = {
         let mut windows = WINDOWS.lock();
         let windows = windows.get_or_insert_default();
--- a/src/log_service/http.rs
+++ b/src/log_service/http.rs
@@ -38,7 +38,7 @@
         "platform plug-in \"http\" needs addresses"
     );
     let platform = Arc::new(HttpPlatform {
-        client: crate::endpoint::plain_client(CALL_TIMEOUT)?,
+        client: crate::endpoint::no_retry_client(CALL_TIMEOUT)?,
         addresses: addresses.to_vec(),
         preferred: AtomicUsize::new(0),
     });
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -112,7 +112,7 @@
 /// The answer for an error of larkwick's own.
 #[must_use]
 pub fn refusal(error: &Error) -> Response<Bytes> {
-    let row = error.kind.answer();
+    let row = error.kind.response_rule();
     let body = serde_json::to_vec(&error.body()).unwrap_or_default();
     let mut response = Response::new(Bytes::from(body));
     *response.status_mut() =
--- a/src/settings/fault.rs
+++ b/src/settings/error.rs
@@ -5,7 +5,7 @@
 /// A field of the settings at fault.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("field \"{field}\": allowed: {allowed}")]
-pub struct SettingsFault {
+pub struct SettingsError {
     /// The field.
     pub field: &'static str,
     /// What is allowed.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,10 +12,10 @@
 use crate::kernel::object::is_valid_name;
 use crate::{endpoint, kernel::policy, log_service};
 
-pub mod fault;
+pub mod error;
 pub mod routing;
 
-pub use fault::{SettingsFault, ms};
+pub use error::{SettingsError, ms};
 use routing::RoutingSettings;
 
 /// A place in a file and what is wrong there.
@@ -226,7 +226,7 @@
     /// File, line and field of the first fault.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         let settings: Self = read_jsonc(path)?;
-        settings.check().map_err(|fault| {
+        settings.validate().map_err(|fault| {
             let text = std::fs::read_to_string(path).unwrap_or_default();
             FileError {
                 file: path.display().to_string(),
@@ -241,8 +241,8 @@
     ///
     /// # Errors
     /// The first field at fault.
-    pub fn check(&self) -> Result<(), SettingsFault> {
-        let fault = |field, allowed: String| Err(SettingsFault { field, allowed });
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        let fault = |field, allowed: String| Err(SettingsError { field, allowed });
         if !is_valid_name(&self.instance) {
             return fault("instance", "a name of a-z, 0-9, '-', '_', '.'".to_owned());
         }
@@ -250,7 +250,7 @@
             return fault("policy", format!("one of {}", policy::names().join(", ")));
         }
         if let Some(routing) = &self.routing {
-            routing.check()?;
+            routing.validate()?;
         } else if !log_service::names().contains(&self.platform.plugin.as_str()) {
             return fault(
                 "plugin",
--- a/src/settings/routing.rs
+++ b/src/settings/routing.rs
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::fault::{SettingsFault, ms};
+use super::error::{SettingsError, ms};
 use crate::gateway::site_store;
 use crate::kernel::freshness::Freshness;
 use crate::kernel::roles::default_link_mbps;
@@ -78,9 +78,9 @@
     ///
     /// # Errors
     /// The first field at fault.
-    pub fn check(&self) -> Result<(), SettingsFault> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let fault = |field, allowed: &str| {
-            Err(SettingsFault {
+            Err(SettingsError {
                 field,
                 allowed: allowed.to_owned(),
             })
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -11,7 +11,7 @@
 use super::arrivals::{ACCOUNTS, ArrivalPlan, Mix, carried_per_s, plan};
 use super::overhead::micros;
 use super::stream::{MODEL, StreamEnd, StreamMeasured, Target, drive};
-use crate::endpoint::plain_client;
+use crate::endpoint::no_retry_client;
 use crate::kernel::clock::SystemClock;
 use crate::kernel::policy::LoadedModel;
 use crate::log_service::{self, Platform};
@@ -225,7 +225,7 @@
     arrivals: &[ArrivalPlan],
 ) -> anyhow::Result<RunFigures> {
     let setup = set_up(options, policy).await?;
-    let client = plain_client(Duration::from_secs(1))?;
+    let client = no_retry_client(Duration::from_secs(1))?;
     let keys: Vec<String> = (0..ACCOUNTS.len()).map(account_key).collect();
     let start = Instant::now();
     let mut streams = Vec::new();
--- a/src/tool/load/overhead.rs
+++ b/src/tool/load/overhead.rs
@@ -9,7 +9,7 @@
 
 use super::arrivals::{ArrivalPlan, Mix};
 use super::stream::{StreamEnd, StreamMeasured, Target, drive};
-use crate::endpoint::plain_client;
+use crate::endpoint::no_retry_client;
 
 const TURNS: u32 = 6;
 
@@ -111,7 +111,7 @@
 }
 
 async fn open_streams(options: OverheadOptions, target: Target) -> Vec<StreamMeasured> {
-    let Ok(client) = plain_client(Duration::from_secs(1)) else {
+    let Ok(client) = no_retry_client(Duration::from_secs(1)) else {
         return Vec::new();
     };
     let start = Instant::now();
