--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! What callers see: entries, completions, chat completions and plain services, over rocket.
+//! The HTTP API for callers: entries, completions, chat completions and plain services.
 
 mod headers;
 mod openai;
@@ -23,12 +23,12 @@
 use crate::daemon::response::single_event;
 use crate::error::{Error, ErrorKind, Result};
 use headers::CallerHeaders;
-use openai::{ChatBody, CompletionBody, Shape};
-use render::{CallerAnswer, error_answer, render_generation, render_service};
+use openai::{ChatBody, CompletionBody, ResponseFormat};
+use render::{CallerResponse, error_response, render_generation, render_service};
 
-type Shared = State<Arc<Node>>;
+type NodeState = State<Arc<Node>>;
 
-/// Adds the callers' routes.
+/// Mounts the routes for callers.
 pub(crate) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
     let routes = routes![entries, completions, chat_completions, service, health];
     rocket
@@ -36,18 +36,18 @@
         .register("/", catchers![catch_all])
 }
 
-/// Answer of `/v1/entries`.
+/// Response of `/v1/entries`.
 #[derive(Serialize)]
-struct EntriesAnswer {
-    /// In order of preference.
+struct EntriesResponse {
+    /// Entries in order of preference.
     entries: Vec<Entry>,
-    /// How long the answer may be kept.
+    /// How long callers may cache this response.
     valid_for_ms: u64,
 }
 
 #[get("/v1/entries")]
-fn entries(node: &Shared) -> Json<EntriesAnswer> {
-    Json(EntriesAnswer {
+fn entries(node: &NodeState) -> Json<EntriesResponse> {
+    Json(EntriesResponse {
         entries: node.entries(),
         valid_for_ms: node.settings.times.entries_valid_ms,
     })
@@ -58,7 +58,7 @@
     "ok\n"
 }
 
-/// Reads a body within the limit.
+/// Reads a request body of at most `body_max_bytes`.
 async fn read_body(node: &Node, data: Data<'_>) -> Result<Vec<u8>> {
     let limit = node.settings.limits.body_max_bytes;
     let read = data.open(limit.bytes()).into_bytes().await;
@@ -72,8 +72,8 @@
     Ok(body.into_inner())
 }
 
-/// A request whose bearer key is known.
-struct Authorized {
+/// A request whose bearer key belongs to a client account.
+struct AuthorizedRequest {
     headers: CallerHeaders,
     body: Vec<u8>,
 }
@@ -83,11 +83,11 @@
     node: &Node,
     headers: Result<CallerHeaders>,
     data: Data<'_>,
-) -> Result<Authorized> {
+) -> Result<AuthorizedRequest> {
     let headers = headers?;
     node.catalog().account_for_key(&headers.bearer_key)?;
     let body = read_body(node, data).await?;
-    Ok(Authorized { headers, body })
+    Ok(AuthorizedRequest { headers, body })
 }
 
 fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
@@ -95,33 +95,33 @@
         .map_err(|error| Error::new(ErrorKind::BadRequest, format!("body: {error}")))
 }
 
-async fn generation<T: DeserializeOwned + openai::Asks>(
+async fn handle_generation<T: DeserializeOwned + openai::IntoGenerationParams>(
     node: &Arc<Node>,
     headers: Result<CallerHeaders>,
     data: Data<'_>,
-    shape: Shape,
-) -> CallerAnswer {
+    format: ResponseFormat,
+) -> CallerResponse {
     let request_id = Uuid::new_v4();
-    let prepared = prepare::<T>(node, headers, data, request_id).await;
+    let prepared = prepare_generation::<T>(node, headers, data, request_id).await;
     match prepared {
-        Err(error) => error_answer(request_id, &error),
+        Err(error) => error_response(request_id, &error),
         Ok(request) => {
-            let reply = openai::Reply::new(shape, &request);
-            render_generation(request_id, dispatch::start_request(node, request), reply).await
+            let builder = openai::ResponseBuilder::new(format, &request);
+            render_generation(request_id, dispatch::start_request(node, request), builder).await
         }
     }
 }
 
-async fn prepare<T: DeserializeOwned + openai::Asks>(
+async fn prepare_generation<T: DeserializeOwned + openai::IntoGenerationParams>(
     node: &Node,
     headers: Result<CallerHeaders>,
     data: Data<'_>,
     request_id: Uuid,
 ) -> Result<CallerRequest> {
-    let Authorized { headers, body } = authorize(node, headers, data).await?;
+    let AuthorizedRequest { headers, body } = authorize(node, headers, data).await?;
     let work = match headers.last_event_id {
         Some(last_event_id) => RequestedWork::Resume { last_event_id },
-        None => RequestedWork::Generation(parse_body::<T>(&body)?.asked()?),
+        None => RequestedWork::Generation(parse_body::<T>(&body)?.into_generation_params()?),
     };
     Ok(CallerRequest {
         request_id,
@@ -132,34 +132,38 @@
 }
 
 #[post("/v1/completions", data = "<data>")]
-async fn completions(node: &Shared, headers: CallerHeadersGuard, data: Data<'_>) -> CallerAnswer {
-    generation::<CompletionBody>(node, headers.0, data, Shape::Completion).await
+async fn completions(
+    node: &NodeState,
+    headers: CallerHeadersGuard,
+    data: Data<'_>,
+) -> CallerResponse {
+    handle_generation::<CompletionBody>(node, headers.0, data, ResponseFormat::Completion).await
 }
 
 #[post("/v1/chat/completions", data = "<data>")]
 async fn chat_completions(
-    node: &Shared,
+    node: &NodeState,
     headers: CallerHeadersGuard,
     data: Data<'_>,
-) -> CallerAnswer {
-    generation::<ChatBody>(node, headers.0, data, Shape::Chat).await
+) -> CallerResponse {
+    handle_generation::<ChatBody>(node, headers.0, data, ResponseFormat::Chat).await
 }
 
 #[post("/v1/services/<name>/<path..>", data = "<data>")]
 async fn service(
-    node: &Shared,
+    node: &NodeState,
     name: &str,
     path: PathBuf,
     headers: CallerHeadersGuard,
     data: Data<'_>,
-) -> CallerAnswer {
+) -> CallerResponse {
     let request_id = Uuid::new_v4();
     let prepared = prepare_service(node, name, &path, headers.0, data, request_id).await;
-    let answer = match prepared {
+    let response = match prepared {
         Ok(request) => dispatch::start_request(node, request),
         Err(error) => single_event(error),
     };
-    render_service(request_id, answer).await
+    render_service(request_id, response).await
 }
 
 async fn prepare_service(
@@ -170,7 +174,7 @@
     data: Data<'_>,
     request_id: Uuid,
 ) -> Result<CallerRequest> {
-    let Authorized { headers, body } = authorize(node, headers, data).await?;
+    let AuthorizedRequest { headers, body } = authorize(node, headers, data).await?;
     Ok(CallerRequest {
         request_id,
         bearer_key: headers.bearer_key,
@@ -184,7 +188,7 @@
     })
 }
 
-/// The headers of a request, or what is wrong with them.
+/// Request guard that yields the parsed headers, or the error in them.
 struct CallerHeadersGuard(Result<CallerHeaders>);
 
 #[rocket::async_trait]
@@ -192,17 +196,17 @@
     type Error = std::convert::Infallible;
 
     async fn from_request(request: &'r Request<'_>) -> rocket::request::Outcome<Self, Self::Error> {
-        rocket::request::Outcome::Success(Self(CallerHeaders::read(request.headers())))
+        rocket::request::Outcome::Success(Self(CallerHeaders::parse(request.headers())))
     }
 }
 
 #[catch(default)]
-fn catch_all(status: Status, _: &Request<'_>) -> CallerAnswer {
+fn catch_all(status: Status, _: &Request<'_>) -> CallerResponse {
     let error = match status.code {
         404 | 405 => Error::new(ErrorKind::NotFound, "no such path; see docs/CALLERS.md"),
         413 => Error::new(ErrorKind::TooLarge, "the body is too large"),
         400..=499 => Error::new(ErrorKind::BadRequest, status.to_string()),
         _ => Error::new(ErrorKind::Internal, "larkwick failed; report this"),
     };
-    error_answer(Uuid::new_v4(), &error)
+    error_response(Uuid::new_v4(), &error)
 }
--- a/src/caller/openai.rs
+++ b/src/caller/openai.rs
@@ -1,4 +1,4 @@
-//! Bodies in the customary `OpenAI` shape.
+//! Request and response bodies of the `OpenAI` API.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,13 +8,15 @@
 use crate::endpoint::protocol::FinishReason;
 use crate::error::{Error, ErrorKind, Result};
 
-/// A body that asks for a generation.
-pub(super) trait Asks {
-    /// The generation asked for.
-    fn asked(self) -> Result<GenerationParams>;
+/// A request body that describes a generation.
+pub(super) trait IntoGenerationParams {
+    /// Validates the body and converts it into generation parameters.
+    fn into_generation_params(self) -> Result<GenerationParams>;
 }
 
-/// Body of `/v1/completions`. Fields that larkwick does not know are ignored, as callers of this shape expect.
+/// Request body of `/v1/completions`.
+///
+/// Unknown fields are ignored, as clients of the `OpenAI` API expect.
 #[derive(Debug, Deserialize)]
 pub(super) struct CompletionBody {
     model: String,
@@ -25,7 +27,9 @@
     stream: bool,
 }
 
-/// Body of `/v1/chat/completions`.
+/// Request body of `/v1/chat/completions`.
+///
+/// Unknown fields are ignored, as clients of the `OpenAI` API expect.
 #[derive(Debug, Deserialize)]
 pub(super) struct ChatBody {
     model: String,
@@ -65,7 +69,7 @@
     }
 }
 
-fn check_max(max_tokens: Option<u32>) -> Result<()> {
+fn validate_max_tokens(max_tokens: Option<u32>) -> Result<()> {
     if max_tokens == Some(0) {
         return Err(Error::new(
             ErrorKind::BadRequest,
@@ -75,9 +79,9 @@
     Ok(())
 }
 
-impl Asks for CompletionBody {
-    fn asked(self) -> Result<GenerationParams> {
-        check_max(self.max_tokens)?;
+impl IntoGenerationParams for CompletionBody {
+    fn into_generation_params(self) -> Result<GenerationParams> {
+        validate_max_tokens(self.max_tokens)?;
         Ok(GenerationParams {
             model: self.model,
             prompt: self.prompt,
@@ -88,10 +92,10 @@
     }
 }
 
-impl Asks for ChatBody {
-    fn asked(self) -> Result<GenerationParams> {
+impl IntoGenerationParams for ChatBody {
+    fn into_generation_params(self) -> Result<GenerationParams> {
         let max_tokens = self.max_completion_tokens.or(self.max_tokens);
-        check_max(max_tokens)?;
+        validate_max_tokens(max_tokens)?;
         if self.messages.is_empty() {
             return Err(Error::new(
                 ErrorKind::BadRequest,
@@ -117,28 +121,28 @@
     }
 }
 
-/// Which of the two shapes an answer takes.
+/// The format of a response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Shape {
-    /// `/v1/completions`.
+pub(super) enum ResponseFormat {
+    /// Format of `/v1/completions`.
     Completion,
-    /// `/v1/chat/completions`.
+    /// Format of `/v1/chat/completions`.
     Chat,
 }
 
-/// Builds the bodies of one answer.
+/// Builds the bodies of one response.
 #[derive(Debug, Clone)]
-pub(super) struct Reply {
-    shape: Shape,
+pub(super) struct ResponseBuilder {
+    format: ResponseFormat,
     id: String,
     created: u64,
     model: String,
-    /// Whether the caller asked for a stream; a resume is always one.
+    /// Whether the response is streamed. A resumed generation always is.
     pub(super) streamed: bool,
 }
 
 #[derive(Debug, Serialize)]
-struct Body<'a> {
+struct ResponseBody<'a> {
     id: &'a str,
     object: &'static str,
     created: u64,
@@ -166,8 +170,11 @@
     content: &'a str,
 }
 
-/// Tokens counted.
-#[expect(clippy::struct_field_names, reason = "the names of the OpenAI shape")]
+/// Token usage of a generation.
+#[expect(
+    clippy::struct_field_names,
+    reason = "the field names of the OpenAI API"
+)]
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct Usage {
     pub(super) prompt_tokens: u32,
@@ -175,25 +182,25 @@
     pub(super) total_tokens: u32,
 }
 
-impl Reply {
-    /// Bodies for a request's answer.
-    pub(super) fn new(shape: Shape, request: &CallerRequest) -> Self {
+impl ResponseBuilder {
+    /// Creates a builder for the response to a request.
+    pub(super) fn new(format: ResponseFormat, request: &CallerRequest) -> Self {
         let (model, streamed) = match &request.work {
-            RequestedWork::Generation(asked) => (asked.model.clone(), asked.streamed),
+            RequestedWork::Generation(params) => (params.model.clone(), params.streamed),
             RequestedWork::Resume { .. } | RequestedWork::Service { .. } => (String::new(), true),
         };
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            shape,
+            format,
             id: format!("cmpl-{}", request.request_id),
-            created: since_epoch.map_or(0, |since| since.as_secs()),
+            created: since_epoch.map_or(0, |elapsed| elapsed.as_secs()),
             model,
             streamed,
         }
     }
 
     fn body(&self, choice: Choice<'_>, object: &'static str, usage: Option<Usage>) -> String {
-        let body = Body {
+        let body = ResponseBody {
             id: &self.id,
             object,
             created: self.created,
@@ -204,7 +211,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// A piece of a streamed answer.
+    /// Builds the body of one chunk of a streamed response.
     pub(super) fn chunk(
         &self,
         text: &str,
@@ -215,15 +222,15 @@
             role: "assistant",
             content: text,
         };
-        let chat = self.shape == Shape::Chat;
+        let is_chat = self.format == ResponseFormat::Chat;
         let choice = Choice {
             index: 0,
-            text: (!chat).then_some(text),
+            text: (!is_chat).then_some(text),
             message: None,
-            delta: chat.then_some(message),
+            delta: is_chat.then_some(message),
             finish_reason: reason,
         };
-        let object = if chat {
+        let object = if is_chat {
             "chat.completion.chunk"
         } else {
             "text_completion"
@@ -231,21 +238,21 @@
         self.body(choice, object, usage)
     }
 
-    /// A whole answer.
-    pub(super) fn whole(&self, text: &str, reason: FinishReason, usage: Usage) -> String {
+    /// Builds the body of a response that is not streamed.
+    pub(super) fn full(&self, text: &str, reason: FinishReason, usage: Usage) -> String {
         let message = Message {
             role: "assistant",
             content: text,
         };
-        let chat = self.shape == Shape::Chat;
+        let is_chat = self.format == ResponseFormat::Chat;
         let choice = Choice {
             index: 0,
-            text: (!chat).then_some(text),
-            message: chat.then_some(message),
+            text: (!is_chat).then_some(text),
+            message: is_chat.then_some(message),
             delta: None,
             finish_reason: Some(reason),
         };
-        let object = if chat {
+        let object = if is_chat {
             "chat.completion"
         } else {
             "text_completion"
--- a/src/caller/render.rs
+++ b/src/caller/render.rs
@@ -1,4 +1,5 @@
-//! Turns the events of an answer into HTTP: a stream of server-sent events, a whole body, or a typed error.
+//! Renders response events as HTTP: a stream of server-sent events, a complete body, or a typed
+//! error.
 
 use std::io::Cursor;
 use std::pin::Pin;
@@ -10,16 +11,16 @@
 use rocket::response::{self, Responder, Response};
 use uuid::Uuid;
 
-use super::openai::{Reply, Usage};
+use super::openai::{ResponseBuilder, Usage};
 use crate::daemon::response::{ResponseEvent, ResponseStream};
 use crate::error::{Error, ErrorDetail, ErrorKind};
 
 const DONE: &str = "[DONE]";
 
-type Events = Pin<Box<dyn Stream<Item = Event> + Send>>;
+type SseEvents = Pin<Box<dyn Stream<Item = Event> + Send>>;
 
-/// An answer to a caller.
-pub(super) struct CallerAnswer {
+/// An HTTP response to a caller.
+pub(super) struct CallerResponse {
     request_id: Uuid,
     status: Status,
     content_type: String,
@@ -28,15 +29,15 @@
 }
 
 enum Body {
-    Whole(Vec<u8>),
-    Events(Events),
+    Full(Vec<u8>),
+    Events(SseEvents),
 }
 
-impl<'r> Responder<'r, 'r> for CallerAnswer {
+impl<'r> Responder<'r, 'r> for CallerResponse {
     fn respond_to(self, request: &'r Request<'_>) -> response::Result<'r> {
         let mut response = match self.body {
             Body::Events(events) => EventStream::from(events).respond_to(request)?,
-            Body::Whole(body) => Response::build()
+            Body::Full(body) => Response::build()
                 .sized_body(body.len(), Cursor::new(body))
                 .raw_header("Content-Type", self.content_type)
                 .finalize(),
@@ -51,92 +52,92 @@
     }
 }
 
-fn json(request_id: Uuid, status: Status, body: impl Into<Vec<u8>>) -> CallerAnswer {
-    CallerAnswer {
+fn json_response(request_id: Uuid, status: Status, body: impl Into<Vec<u8>>) -> CallerResponse {
+    CallerResponse {
         request_id,
         status,
         content_type: ContentType::JSON.to_string(),
         retry_after_ms: None,
-        body: Body::Whole(body.into()),
+        body: Body::Full(body.into()),
     }
 }
 
-/// A typed error as a whole answer.
-pub(super) fn error_answer(request_id: Uuid, error: &Error) -> CallerAnswer {
+/// Renders an error as a complete JSON response with the status of its kind.
+pub(super) fn error_response(request_id: Uuid, error: &Error) -> CallerResponse {
     let body = error.body();
     let status = Status::new(error.kind.response_rule().status);
     let text = serde_json::to_vec(&body).unwrap_or_default();
-    CallerAnswer {
+    CallerResponse {
         retry_after_ms: body.error.retry_after_ms,
-        ..json(request_id, status, text)
+        ..json_response(request_id, status, text)
     }
 }
 
-fn cut() -> Error {
+fn missing_end_error() -> Error {
     Error::new(ErrorKind::Internal, "the answer ended without a last event")
 }
 
-/// The answer to a call of a plain service.
-pub(super) async fn render_service(request_id: Uuid, mut answer: ResponseStream) -> CallerAnswer {
-    match answer.next().await {
-        Some(ResponseEvent::Service(answer)) => CallerAnswer {
+/// Renders the response to a service call.
+pub(super) async fn render_service(request_id: Uuid, mut events: ResponseStream) -> CallerResponse {
+    match events.next().await {
+        Some(ResponseEvent::Service(response)) => CallerResponse {
             request_id,
-            status: Status::new(answer.status),
-            content_type: answer.content_type,
+            status: Status::new(response.status),
+            content_type: response.content_type,
             retry_after_ms: None,
-            body: Body::Whole(answer.body),
+            body: Body::Full(response.body),
         },
-        Some(ResponseEvent::Error(detail)) => error_answer(request_id, &detail.into()),
-        Some(_) | None => error_answer(request_id, &cut()),
+        Some(ResponseEvent::Error(detail)) => error_response(request_id, &detail.into()),
+        Some(_) | None => error_response(request_id, &missing_end_error()),
     }
 }
 
-/// The answer to a generation: streamed or whole, as the caller asked.
+/// Renders the response to a generation, streamed or complete as the caller asked.
 pub(super) async fn render_generation(
     request_id: Uuid,
-    mut answer: ResponseStream,
-    reply: Reply,
-) -> CallerAnswer {
-    // An error before the first token is an ordinary error answer with its status.
-    let first = match answer.next().await {
-        Some(ResponseEvent::Error(detail)) => return error_answer(request_id, &detail.into()),
+    mut events: ResponseStream,
+    builder: ResponseBuilder,
+) -> CallerResponse {
+    // An error before the first token is rendered as a plain error response with its own status.
+    let first = match events.next().await {
+        Some(ResponseEvent::Error(detail)) => return error_response(request_id, &detail.into()),
         Some(first) => first,
-        None => return error_answer(request_id, &cut()),
+        None => return error_response(request_id, &missing_end_error()),
     };
-    let answer = futures::stream::iter([first]).chain(answer);
-    if reply.streamed {
-        return CallerAnswer {
+    let events = futures::stream::iter([first]).chain(events);
+    if builder.streamed {
+        return CallerResponse {
             request_id,
             status: Status::Ok,
             content_type: String::new(),
             retry_after_ms: None,
-            body: Body::Events(Box::pin(streamed(answer, reply))),
+            body: Body::Events(Box::pin(sse_events(events, builder))),
         };
     }
-    match whole(answer, &reply).await {
-        Ok(body) => json(request_id, Status::Ok, body),
-        Err(error) => error_answer(request_id, &error),
+    match collect_body(events, &builder).await {
+        Ok(body) => json_response(request_id, Status::Ok, body),
+        Err(error) => error_response(request_id, &error),
     }
 }
 
-async fn whole(
-    mut answer: impl Stream<Item = ResponseEvent> + Unpin,
-    reply: &Reply,
+async fn collect_body(
+    mut events: impl Stream<Item = ResponseEvent> + Unpin,
+    builder: &ResponseBuilder,
 ) -> Result<String, Error> {
     let mut text = String::new();
-    while let Some(event) = answer.next().await {
+    while let Some(event) = events.next().await {
         match event {
             ResponseEvent::Token { text: token, .. } => text.push_str(&token),
             ResponseEvent::Done {
                 reason,
                 prompt_tokens,
                 tokens,
-            } => return Ok(reply.whole(&text, reason, usage(prompt_tokens, tokens))),
+            } => return Ok(builder.full(&text, reason, usage(prompt_tokens, tokens))),
             ResponseEvent::Error(detail) => return Err(detail.into()),
             ResponseEvent::Moved { .. } | ResponseEvent::Service(_) => break,
         }
     }
-    Err(cut())
+    Err(missing_end_error())
 }
 
 fn usage(prompt_tokens: u32, completion_tokens: u32) -> Usage {
@@ -152,18 +153,22 @@
     Event::json(&error.body()).event("error")
 }
 
-/// Server-sent events; the last one is always `[DONE]`, `error` or `moved`.
-fn streamed(answer: impl Stream<Item = ResponseEvent>, reply: Reply) -> impl Stream<Item = Event> {
+/// Converts response events into server-sent events. The last one is always `[DONE]`, `error` or
+/// `moved`.
+fn sse_events(
+    events: impl Stream<Item = ResponseEvent>,
+    builder: ResponseBuilder,
+) -> impl Stream<Item = Event> {
     rocket::async_stream::stream! {
-        let mut answer = std::pin::pin!(answer);
-        while let Some(event) = answer.next().await {
+        let mut events = std::pin::pin!(events);
+        while let Some(event) = events.next().await {
             match event {
                 ResponseEvent::Token { id, text } => {
-                    yield Event::data(reply.chunk(&text, None, None)).id(id);
+                    yield Event::data(builder.chunk(&text, None, None)).id(id);
                 }
                 ResponseEvent::Done { reason, prompt_tokens, tokens } => {
                     let usage = usage(prompt_tokens, tokens);
-                    yield Event::data(reply.chunk("", Some(reason), Some(usage)));
+                    yield Event::data(builder.chunk("", Some(reason), Some(usage)));
                     yield Event::data(DONE);
                     return;
                 }
@@ -178,11 +183,11 @@
                 ResponseEvent::Service(_) => break,
             }
         }
-        yield error_event(&cut().body().error);
+        yield error_event(&missing_end_error().body().error);
     }
 }
 
-/// Where to go on reading.
+/// Data of the `moved` event: the entries at which the caller can resume the stream.
 #[derive(serde::Serialize)]
 struct Moved {
     entries: Vec<String>,
