--- a/src/endpoint/http.rs
+++ b/src/endpoint/http.rs
@@ -1,4 +1,4 @@
-//! Endpoint plug-in `http`: the protocol of docs/ENDPOINTS.md, for engines and plain services.
+//! Endpoint plug-in `http`: speaks the protocol of docs/ENDPOINTS.md to engines and plain services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::kernel::policy::LoadReport;
 
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time within which an engine answers that it took the generation; it may still queue it afterwards.
+/// Timeout for an engine to accept a generation. The engine may queue the generation afterwards.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 const LINE_MAX_BYTES: usize = 1 << 20;
 
@@ -30,19 +30,19 @@
 
 struct HttpEndpoint {
     name: String,
-    base: String,
+    base_url: String,
     client: reqwest::Client,
 }
 
 fn connect(name: &str, address: &str) -> anyhow::Result<Arc<dyn Endpoint>> {
     Ok(Arc::new(HttpEndpoint {
         name: name.to_owned(),
-        base: format!("http://{address}"),
+        base_url: format!("http://{address}"),
         client: no_retry_client(Duration::from_secs(1))?,
     }))
 }
 
-fn events(response: reqwest::Response) -> EngineStream {
+fn event_stream(response: reqwest::Response) -> EngineStream {
     let bytes = response.bytes_stream().map_err(std::io::Error::other);
     let lines = FramedRead::new(
         StreamReader::new(bytes),
@@ -55,13 +55,16 @@
     Box::pin(events)
 }
 
-/// Reads the first event and puts it back in front.
-async fn first_event(mut stream: EngineStream) -> Result<(Started, EngineStream), String> {
+/// Reads the `Started` event. Returns it with the stream, which still begins with that event.
+///
+/// # Errors
+/// The stream is empty, broken, or begins with another event.
+async fn read_started_event(mut stream: EngineStream) -> Result<(Started, EngineStream), String> {
     match stream.next().await {
         Some(Ok(EngineEvent::Started(started))) => {
             let first = EngineEvent::Started(started.clone());
-            let whole = futures::stream::once(async { Ok(first) }).chain(stream);
-            Ok((started, Box::pin(whole)))
+            let full_stream = futures::stream::once(async { Ok(first) }).chain(stream);
+            Ok((started, Box::pin(full_stream)))
         }
         Some(Ok(_)) => Err("the first event is not \"started\"".to_owned()),
         Some(Err(error)) => Err(error.to_string()),
@@ -69,7 +72,8 @@
     }
 }
 
-fn echoes(headers: &HeaderMap, name: &str, id: Uuid) -> bool {
+/// Returns `true` if the header has the given id as its value.
+fn has_matching_id(headers: &HeaderMap, name: &str, id: Uuid) -> bool {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
@@ -79,11 +83,15 @@
 
 impl HttpEndpoint {
     fn url(&self, path: &str) -> String {
-        format!("{}{path}", self.base)
+        format!("{}{path}", self.base_url)
     }
 
-    /// Sends the one request of an attempt and sorts the failures by what may be said of them.
-    async fn send(
+    /// Sends the request of an attempt.
+    ///
+    /// # Errors
+    /// The failure tells whether the request may have run: it did not run if no connection was made
+    /// or the endpoint refused admission; in all other cases it may have run.
+    async fn send_attempt(
         &self,
         attempt: UnsentAttempt,
         request: reqwest::RequestBuilder,
@@ -91,15 +99,15 @@
     ) -> Result<SentResponse, AttemptFailure> {
         let attempt_id = attempt.attempt_id;
         let request = request.header(ATTEMPT_ID_HEADER, attempt_id.to_string());
-        let sending = tokio::time::timeout(timeout, request.send()).await;
-        let response = match sending {
+        let result = tokio::time::timeout(timeout, request.send()).await;
+        let response = match result {
             Ok(Err(error)) if error.is_connect() => return Err(attempt.not_connected(&self.name)),
             Ok(Err(error)) => return Err(attempt.mark_sent().lost(&self.name, &error.to_string())),
             Err(_) => return Err(attempt.mark_sent().lost(&self.name, "no answer in time")),
             Ok(Ok(response)) => response,
         };
         let sent = attempt.mark_sent();
-        if echoes(response.headers(), NOT_ADMITTED_HEADER, attempt_id) {
+        if has_matching_id(response.headers(), NOT_ADMITTED_HEADER, attempt_id) {
             return Err(sent.refused(&self.name));
         }
         Ok(SentResponse { sent, response })
@@ -124,15 +132,17 @@
         request: &GenerationRequest,
     ) -> Result<EngineStream, AttemptFailure> {
         let http = self.client.post(self.url("/v1/generations")).json(request);
-        let SentResponse { sent, response } = self.send(attempt, http, START_TIMEOUT).await?;
+        let SentResponse { sent, response } =
+            self.send_attempt(attempt, http, START_TIMEOUT).await?;
         if !response.status().is_success() {
-            let why = format!("status {}", response.status());
-            return Err(sent.lost(&self.name, &why));
+            let reason = format!("status {}", response.status());
+            return Err(sent.lost(&self.name, &reason));
         }
-        let first = tokio::time::timeout(START_TIMEOUT, first_event(events(response))).await;
+        let first =
+            tokio::time::timeout(START_TIMEOUT, read_started_event(event_stream(response))).await;
         let first = first.unwrap_or_else(|_| Err("no first event in time".to_owned()));
         match first {
-            Err(why) => Err(sent.lost(&self.name, &why)),
+            Err(reason) => Err(sent.lost(&self.name, &reason)),
             Ok((started, _))
                 if started.attempt_id != sent.attempt_id
                     || started.request_id != request.request_id =>
@@ -144,10 +154,10 @@
     }
 
     async fn resume(&self, from: &ResumePosition<'_>) -> Result<EngineStream, ResumeError> {
-        let unreachable = |why: String| ResumeError::Unreachable(why);
+        let unreachable = |reason: String| ResumeError::Unreachable(reason);
         let path = format!("/v1/generations/{}?from={}", from.number, from.index);
-        let sending = self.client.get(self.url(&path)).send();
-        let response = tokio::time::timeout(CONTROL_TIMEOUT, sending)
+        let response_future = self.client.get(self.url(&path)).send();
+        let response = tokio::time::timeout(CONTROL_TIMEOUT, response_future)
             .await
             .map_err(|_| unreachable("no answer in time".to_owned()))?
             .map_err(|error| unreachable(error.to_string()))?;
@@ -157,7 +167,8 @@
         if !response.status().is_success() {
             return Err(unreachable(response.status().to_string()));
         }
-        let first = tokio::time::timeout(CONTROL_TIMEOUT, first_event(events(response))).await;
+        let first =
+            tokio::time::timeout(CONTROL_TIMEOUT, read_started_event(event_stream(response))).await;
         let (started, stream) = first
             .map_err(|_| unreachable("no first event in time".to_owned()))?
             .map_err(unreachable)?;
@@ -171,7 +182,7 @@
         let path =
             format!("/v1/generations/{number}?incarnation={incarnation}&unless_read={unless_read}");
         let request = self.client.delete(self.url(&path)).timeout(CONTROL_TIMEOUT);
-        // A cancel that fails leaves work that ends by itself.
+        // The error is ignored: a generation that was not cancelled ends by itself.
         let _ = request.send().await;
     }
 
@@ -215,9 +226,9 @@
             .header(REQUEST_ID_HEADER, call.request_id.to_string())
             .header("larkwick-account", &call.account)
             .body(call.body.clone());
-        let SentResponse { sent, response } = self.send(attempt, http, timeout).await?;
-        if !echoes(response.headers(), REQUEST_ID_HEADER, call.request_id)
-            || !echoes(response.headers(), ATTEMPT_ID_HEADER, sent.attempt_id)
+        let SentResponse { sent, response } = self.send_attempt(attempt, http, timeout).await?;
+        if !has_matching_id(response.headers(), REQUEST_ID_HEADER, call.request_id)
+            || !has_matching_id(response.headers(), ATTEMPT_ID_HEADER, sent.attempt_id)
         {
             return Err(sent.lost(&self.name, "the answer belongs to another request"));
         }
--- a/src/endpoint/protocol.rs
+++ b/src/endpoint/protocol.rs
@@ -1,87 +1,87 @@
-//! Messages of the protocol that endpoints speak; docs/ENDPOINTS.md describes it.
+//! Messages of the endpoint protocol, which docs/ENDPOINTS.md describes.
 
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
 use crate::kernel::policy::LoadedModel;
 
-/// Header that carries the request id both ways.
+/// Header with the request id, in requests and responses.
 pub const REQUEST_ID_HEADER: &str = "larkwick-request-id";
-/// Header that carries the attempt id both ways.
+/// Header with the attempt id, in requests and responses.
 pub const ATTEMPT_ID_HEADER: &str = "larkwick-attempt-id";
-/// Header of a refusal before admission; its value is the attempt id.
+/// Header of a response that refuses a request before admission. Its value is the attempt id.
 pub const NOT_ADMITTED_HEADER: &str = "larkwick-not-admitted";
 
-/// Asks an engine for a generation.
+/// Request to an engine to start a generation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GenerationRequest {
-    /// The request, as the caller sees it.
+    /// Id of the caller's request, the same for all attempts.
     pub request_id: Uuid,
-    /// This attempt at it.
+    /// Id of this attempt.
     pub attempt_id: Uuid,
-    /// Client account; a resume must name the same one.
+    /// Client account. Only the same account can resume the generation.
     pub account: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Version.
+    /// Model version.
     pub version: String,
-    /// Prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Hash of the prompt's beginning, for the prefix cache.
+    /// Hash of the beginning of the prompt, the key of the prefix cache.
     pub prefix: u64,
-    /// Longest output.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Higher goes first.
+    /// Scheduling priority; a higher value is served first.
     pub priority: i32,
 }
 
-/// One line of a generation's answer.
+/// One line of an engine's response to a generation request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum EngineEvent {
-    /// Always first.
+    /// The generation has started. Always the first event.
     Started(Started),
-    /// One token.
+    /// One generated token.
     Token {
-        /// From 0, each once.
+        /// Index of the token, from 0; each index occurs once.
         index: u32,
-        /// Text.
+        /// Text of the token.
         text: String,
     },
-    /// Always last; a stream without it was cut.
+    /// The generation is complete. A stream that ends without `Done` or `Failed` was cut off.
     Done {
-        /// `stop` or `length`.
+        /// Why the generation ended.
         reason: FinishReason,
-        /// Tokens in all.
+        /// Number of generated tokens.
         tokens: u32,
     },
-    /// Last instead of `Done`: the engine gave the generation up.
+    /// The engine aborted the generation. Takes the place of `Done` as the last event.
     Failed {
-        /// For a person.
+        /// Human-readable reason.
         message: String,
     },
 }
 
-/// First line of a generation's answer.
+/// The first event of a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Started {
-    /// The engine's own number of the generation.
+    /// Number that the engine gave the generation.
     pub number: u64,
     /// Incarnation of the endpoint.
     pub incarnation: Uuid,
-    /// Echo.
+    /// Request id, echoed from the request.
     pub request_id: Uuid,
-    /// Echo.
+    /// Attempt id, echoed from the request.
     pub attempt_id: Uuid,
-    /// Client account it belongs to.
+    /// Client account that owns the generation.
     pub account: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Version that decodes it.
+    /// Model version that runs the generation.
     pub version: String,
-    /// Prompt, in tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
 }
 
@@ -89,39 +89,39 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the generation.
     Stop,
-    /// The declared maximum was reached.
+    /// The generation reached `max_tokens`.
     Length,
 }
 
-/// A cache event.
+/// A change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one; a gap shows that events were lost.
+    /// Sequence number, which increases by one. A gap means that events were lost.
     pub sequence: u64,
-    /// Prefix now held.
+    /// Hash of the prefix that is now cached.
     pub prefix: u64,
 }
 
-/// Desired state of an engine, under the hall's lease.
+/// The desired state of an engine, ordered by the holder of the hall's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Fence of the lease.
+    /// Fence (fencing token) of the lease.
     pub fence: u64,
-    /// Models to hold, and no others.
+    /// Models to keep loaded, to the exclusion of all others.
     pub models: Vec<LoadedModel>,
-    /// Size of each model's weights, in the same order, in bytes.
+    /// Size of each model's weights in bytes, in the order of `models`.
     pub weights_bytes: Vec<u64>,
 }
 
-/// What an engine is doing about orders.
+/// The state of an engine with regard to orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderStatus {
-    /// Fence of the order in force; 0 for none.
+    /// Fence of the order in force, or 0 if there is none.
     pub fence: u64,
-    /// Models that the order in force asks for.
+    /// Models that the order in force requires.
     pub desired: Vec<LoadedModel>,
-    /// Models loaded.
+    /// Models that are loaded.
     pub loaded: Vec<LoadedModel>,
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,10 +1,12 @@
-//! The closed list of error kinds and the table from each kind to the answer a caller gets.
+//! The closed list of error kinds, and the HTTP response that each kind leads to.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about whether a request ran. `NotRun` is a promise: the request did not run and never will.
+/// What is known about whether a request ran.
+///
+/// `NotRun` is a guarantee: the request did not run and never will.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -12,11 +14,11 @@
     NotRun,
     /// The request may or may not have run.
     Unknown,
-    /// The request started and did not reach its end.
+    /// The request started but did not complete.
     RanPartly,
 }
 
-/// Every kind of error that larkwick answers with.
+/// Every kind of error that larkwick returns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
@@ -34,57 +36,57 @@
     NotFound,
     /// The body exceeds the limit.
     TooLarge,
-    /// The body stopped coming before its end.
+    /// The body stopped arriving before its end.
     BodyTimeout,
-    /// An idempotency key came without a ticket.
+    /// The request has an idempotency key but no ticket.
     TicketRequired,
-    /// The ticket is too old to be accepted and young enough to know that the request never ran.
+    /// The ticket is too old to be accepted, but recent enough to tell that the request never ran.
     TicketStale,
     /// The ticket is so old that it is no longer known whether the request ran.
     TicketForgotten,
-    /// The instance that the ticket names, in that incarnation, is gone or unreachable.
+    /// The instance incarnation that the ticket names is gone or unreachable.
     InstanceGone,
-    /// The memory of requests marked not repeatable is full.
+    /// The idempotency cache, which holds the requests marked not repeatable, is full.
     OnceMemoryFull,
-    /// Every allowed endpoint is full and the queue does not take the request.
+    /// Every allowed endpoint is full and the queue cannot accept the request.
     Crowded,
-    /// The request cannot finish queueing before its deadline.
+    /// The request would still be queued at its deadline.
     DeadlineExceeded,
     /// No allowed endpoint is live.
     NoEndpoint,
-    /// This instance takes no new work because it may not know the configuration in force.
+    /// This instance accepts no new work because it may not have the configuration in force.
     StandingDown,
     /// The endpoint refused the request before admission.
     EndpointRefused,
-    /// The connection to the endpoint broke after bytes were sent.
+    /// The connection to the endpoint was lost after bytes were sent.
     EndpointLost,
     /// The endpoint did not answer within the deadline; the request may have run.
     AnswerTimeout,
-    /// Endpoints end under requests like this one, so that it is sent to none.
+    /// Requests like this one have crashed endpoints, so it is not sent to any.
     EndsEndpoints,
-    /// The engines have no memory for the generation now.
+    /// The engines currently have no memory for the generation.
     NoRoom,
-    /// The generation no longer exists and cannot be continued.
+    /// The generation was lost and cannot be resumed.
     GenerationLost,
-    /// A fault of larkwick itself.
+    /// An internal fault of larkwick.
     Internal,
 }
 
-/// One row of the table from kind to answer.
+/// How an error kind is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseRule {
     /// HTTP status code.
     pub status: u16,
-    /// What the caller may believe about the request.
+    /// What the caller can rely on about whether the request ran.
     pub outcome: Outcome,
-    /// When to come back, where coming back can help.
+    /// Delay after which a retry may succeed. `None` if a retry does not help.
     pub retry_after: Option<Duration>,
-    /// Whether larkwick itself may try another endpoint.
+    /// Whether larkwick may retry the request at another endpoint.
     pub retry_elsewhere: bool,
 }
 
 impl ErrorKind {
-    /// All kinds, for tables and tests.
+    /// All kinds.
     pub const ALL: [Self; 24] = [
         Self::BadRequest,
         Self::Unauthorized,
@@ -112,38 +114,38 @@
         Self::Internal,
     ];
 
-    /// The answer for this kind.
+    /// Returns how this kind is answered.
     #[must_use]
     pub const fn response_rule(self) -> ResponseRule {
         use Outcome::{NotRun, RanPartly, Unknown};
         match self {
-            Self::BadRequest | Self::TicketRequired => row(400, NotRun, None, false),
-            Self::Unauthorized => row(401, NotRun, None, false),
-            Self::NotAllowed => row(403, NotRun, None, false),
+            Self::BadRequest | Self::TicketRequired => rule(400, NotRun, None, false),
+            Self::Unauthorized => rule(401, NotRun, None, false),
+            Self::NotAllowed => rule(403, NotRun, None, false),
             Self::UnknownModel | Self::UnknownService | Self::NotFound => {
-                row(404, NotRun, None, false)
+                rule(404, NotRun, None, false)
             }
-            Self::TooLarge => row(413, NotRun, None, false),
-            Self::BodyTimeout => row(408, NotRun, None, false),
-            Self::TicketStale => row(409, NotRun, Some(0), false),
-            Self::TicketForgotten => row(409, Unknown, None, false),
-            Self::OnceMemoryFull => row(429, NotRun, Some(30_000), false),
-            Self::Crowded => row(429, NotRun, Some(1_000), false),
-            Self::DeadlineExceeded => row(504, NotRun, Some(1_000), false),
-            Self::NoEndpoint | Self::StandingDown => row(503, NotRun, Some(2_000), false),
-            Self::EndpointRefused => row(503, NotRun, Some(1_000), true),
-            Self::InstanceGone | Self::EndpointLost => row(502, Unknown, None, false),
-            Self::AnswerTimeout => row(504, Unknown, None, false),
-            // A release that mends the endpoints takes minutes at the least.
-            Self::EndsEndpoints => row(503, NotRun, Some(600_000), false),
-            Self::NoRoom => row(503, NotRun, Some(1_000), false),
-            Self::GenerationLost => row(502, RanPartly, None, false),
-            Self::Internal => row(500, Unknown, None, false),
+            Self::TooLarge => rule(413, NotRun, None, false),
+            Self::BodyTimeout => rule(408, NotRun, None, false),
+            Self::TicketStale => rule(409, NotRun, Some(0), false),
+            Self::TicketForgotten => rule(409, Unknown, None, false),
+            Self::OnceMemoryFull => rule(429, NotRun, Some(30_000), false),
+            Self::Crowded => rule(429, NotRun, Some(1_000), false),
+            Self::DeadlineExceeded => rule(504, NotRun, Some(1_000), false),
+            Self::NoEndpoint | Self::StandingDown => rule(503, NotRun, Some(2_000), false),
+            Self::EndpointRefused => rule(503, NotRun, Some(1_000), true),
+            Self::InstanceGone | Self::EndpointLost => rule(502, Unknown, None, false),
+            Self::AnswerTimeout => rule(504, Unknown, None, false),
+            // It takes at least some minutes to release a fix for the endpoints.
+            Self::EndsEndpoints => rule(503, NotRun, Some(600_000), false),
+            Self::NoRoom => rule(503, NotRun, Some(1_000), false),
+            Self::GenerationLost => rule(502, RanPartly, None, false),
+            Self::Internal => rule(500, Unknown, None, false),
         }
     }
 }
 
-const fn row(
+const fn rule(
     status: u16,
     outcome: Outcome,
     retry_after_ms: Option<u64>,
@@ -161,15 +163,15 @@
     }
 }
 
-/// An error with its kind and a message for a person.
+/// An error with its kind and a human-readable message.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{message}")]
 pub struct Error {
-    /// Which row of the table applies.
+    /// Kind, which determines the response.
     pub kind: ErrorKind,
-    /// Short, lower case, naming the culprit and what to try.
+    /// Short lower-case text that names the cause and what to try.
     pub message: String,
-    /// Replaces the table's time to come back, where a better one is known.
+    /// Delay after which to retry: that of the kind, or a better estimate where one is known.
     pub retry_after: Option<Duration>,
 }
 
@@ -177,7 +179,7 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Builds an error of a kind.
+    /// Creates an error with the retry delay of its kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -186,14 +188,15 @@
         }
     }
 
-    /// Replaces the time to come back.
+    /// Replaces the delay after which to retry.
     #[must_use]
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The object that callers read, as the body of an answer or the last event of a stream.
+    /// Returns the JSON object that callers receive, as a response body or as the last event of a
+    /// stream.
     #[must_use]
     pub fn body(&self) -> ErrorBody {
         ErrorBody {
@@ -207,23 +210,23 @@
     }
 }
 
-/// JSON object around [`ErrorDetail`].
+/// JSON object that wraps an [`ErrorDetail`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The error.
     pub error: ErrorDetail,
 }
 
-/// An error as callers read it.
+/// An error as callers receive it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Kind from the closed list.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// What the caller may believe.
+    /// What the caller can rely on about whether the request ran.
     pub outcome: Outcome,
-    /// For a person.
+    /// Human-readable message.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Delay in milliseconds after which to retry.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! larkwick serves language model generations of unknown length on crowded engines.
+//! larkwick serves language model generations of unknown length on heavily loaded engines.
 //!
-//! The public face is small: [`App`] runs an instance, [`Settings`] configures it, [`kernel`] holds the decisions without any
-//! input or output, and [`standin`] holds small stand-ins of the systems around it.
+//! [`App`] runs an instance and [`Settings`] configures it. [`kernel`] holds the decision logic,
+//! which does no input or output. [`standin`] holds small substitutes for the systems around
+//! larkwick.
 
 mod caller;
 mod daemon;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,7 @@
-//! Logs: JSON lines. Lines are handed to a thread of their own; when its queue is full, lines are dropped rather than waited for.
+//! The process log, written as JSON lines.
+//!
+//! A separate thread writes the lines. When its queue is full, new lines are dropped so that
+//! logging never blocks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,12 +13,12 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
 
-/// Lines that wait to be written. At some 300 bytes a line this is half a megabyte.
-const QUEUE_LINES: usize = 2_048;
-/// Lines of one kind in a second; above it they are counted instead.
-const LINES_PER_KIND_AND_SECOND: u32 = 40;
+/// Maximum number of queued lines: about half a megabyte at some 300 bytes a line.
+const QUEUE_LINES_MAX: usize = 2_048;
+/// Maximum number of lines of one kind per second. Lines above it are only counted.
+const LINES_PER_KIND_PER_SECOND_MAX: u32 = 40;
 
-/// Where the log goes.
+/// Destination of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogOutput {
     /// Standard output.
@@ -24,7 +27,7 @@
     Stderr,
 }
 
-/// Makes JSON lines the process's log. Every line names its process as logger.
+/// Installs the process log. Every line has the name of the process as its logger.
 ///
 /// # Errors
 /// The log cannot be set up.
@@ -38,7 +41,7 @@
         .build_arc()
         .context("log sink")?;
     let pool = ThreadPool::builder()
-        .capacity(QUEUE_LINES.try_into()?)
+        .capacity(QUEUE_LINES_MAX.try_into()?)
         .build_arc()
         .context("log thread")?;
     let sink = AsyncPoolSink::builder()
@@ -65,41 +68,43 @@
     Ok(())
 }
 
-/// Lines of one kind in the current second.
-struct Window {
-    begun: Instant,
+/// Rate limit of one kind of line: the lines of the current second.
+struct RateWindow {
+    started_at: Instant,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-static WINDOWS: Mutex<Option<HashMap<&'static str, Window>>> = Mutex::new(None);
+static RATE_WINDOWS: Mutex<Option<HashMap<&'static str, RateWindow>>> = Mutex::new(None);
 
-/// Whether a line of this kind may be written now. What is left out is counted, and the count is written with the next second.
+/// Returns `true` if a line of this kind may be written now, and counts it against the rate limit.
+///
+/// Suppressed lines are counted. The first line admitted in a later second logs the count.
 #[must_use]
 pub fn should_log(kind: &'static str) -> bool {
-    let left_out = {
-        let mut windows = WINDOWS.lock();
+    let suppressed = {
+        let mut windows = RATE_WINDOWS.lock();
         let windows = windows.get_or_insert_default();
-        let window = windows.entry(kind).or_insert_with(|| Window {
-            begun: Instant::now(),
+        let window = windows.entry(kind).or_insert_with(|| RateWindow {
+            started_at: Instant::now(),
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         });
-        if window.begun.elapsed() < Duration::from_secs(1) {
-            if window.lines >= LINES_PER_KIND_AND_SECOND {
-                window.left_out += 1;
+        if window.started_at.elapsed() < Duration::from_secs(1) {
+            if window.lines >= LINES_PER_KIND_PER_SECOND_MAX {
+                window.suppressed += 1;
                 return false;
             }
             window.lines += 1;
             return true;
         }
-        window.begun = Instant::now();
+        window.started_at = Instant::now();
         window.lines = 1;
-        std::mem::take(&mut window.left_out)
+        std::mem::take(&mut window.suppressed)
     };
-    if left_out > 0 {
-        metrics::counter!("larkwick_log_lines_left_out_total").increment(left_out);
-        spdlog::warn!("log lines left out", kv: { kind, left_out: });
+    if suppressed > 0 {
+        metrics::counter!("larkwick_log_lines_left_out_total").increment(suppressed);
+        spdlog::warn!("log lines left out", kv: { kind, left_out: = suppressed });
     }
     true
 }
