--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a setting, and how settings tell time.
+//! The error for invalid settings, and the conversion of settings in milliseconds.
 
 use std::time::Duration;
 
-/// A field of the settings at fault.
+/// An invalid value of a settings field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("field \"{field}\": allowed: {allowed}")]
 pub struct SettingsError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// A number of milliseconds as a duration.
+/// Converts a number of milliseconds to a [`Duration`].
 #[must_use]
 pub const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,9 @@
-//! Settings of an instance: a file in JSON with comments, checked before use.
+//! Settings of an instance, read from a file in JSON with comments and validated before use.
+//!
+//! | file | subject |
+//! |---|---|
+//! | `error` | the error for invalid settings |
+//! | `routing` | settings of an instance that serves the routes of a site |
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,22 +23,22 @@
 pub use error::{SettingsError, ms};
 use routing::RoutingSettings;
 
-/// A place in a file and what is wrong there.
+/// An error at a line of a settings or objects file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {message}")]
 pub struct FileError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// Line, from 1.
+    /// Line number from 1, or 0 if the file cannot be read.
     pub line: usize,
-    /// The field and what is allowed.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Reads a value from JSON with comments.
+/// Reads and parses a file in JSON with comments.
 ///
 /// # Errors
-/// The file cannot be read, or a place in it is wrong.
+/// The file cannot be read, or its content is invalid.
 pub fn read_jsonc<T: DeserializeOwned>(path: &Path) -> Result<T, FileError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| FileError {
@@ -44,12 +49,13 @@
     parse_jsonc(&file, &text)
 }
 
-/// Reads a value from the text of a file.
+/// Parses text in JSON with comments. `file` is the path shown in errors.
 ///
 /// # Errors
-/// A place in the text is wrong.
+/// The text is invalid.
 pub fn parse_jsonc<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, FileError> {
-    // JSON with comments and trailing commas; nothing looser, so that a slip of the pen is found.
+    // Comments and trailing commas are the only extensions of JSON allowed, so that typing errors
+    // are found.
     let options = ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -72,10 +78,12 @@
     })
 }
 
-/// The line of a field that is unknown. The library gives only where the object's list begins.
+/// Returns the line of the unknown field that an error message names.
+///
+/// The parser reports only the position at which the enclosing array of objects begins.
 fn unknown_field_line(text: &str, message: &str) -> Option<usize> {
-    let rest = message.strip_prefix("unknown field `")?;
-    let (field, _) = rest.split_once('`')?;
+    let quoted_field = message.strip_prefix("unknown field `")?;
+    let (field, _) = quoted_field.split_once('`')?;
     Some(line_of_field(text, field))
 }
 
@@ -83,32 +91,32 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this instance, unique among instances.
+    /// Name of this instance, unique among all instances.
     pub instance: String,
-    /// Hall it stands in; published as an object.
+    /// Hall of this instance. The hall must be published as an object.
     pub hall: String,
-    /// IP address and port for callers. Port 0 takes a free one.
+    /// IP address and port for callers. Port 0 selects a free port.
     pub caller_address: SocketAddr,
     /// IP address and port for operators.
     pub operator_address: SocketAddr,
     /// IP address and port for peers.
     pub peer_address: SocketAddr,
-    /// The platform's service.
+    /// How to reach the platform's service.
     #[serde(default)]
     pub platform: PlatformSettings,
-    /// Present where this instance serves the routes of a site.
+    /// Routing settings. Present if this instance serves the routes of a site.
     #[serde(default)]
     pub routing: Option<RoutingSettings>,
-    /// Routing policy.
+    /// Name of the routing policy.
     #[serde(default = "default_policy")]
     pub policy: String,
-    /// Threads that serve. As many as cores where absent.
+    /// Number of worker threads. Defaults to the number of cores.
     #[serde(default)]
     pub worker_threads: Option<usize>,
-    /// Times.
+    /// Intervals, timeouts and other times.
     #[serde(default)]
     pub times: Times,
-    /// Limits.
+    /// Limits on sizes, counts and waits.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -117,10 +125,10 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Plug-in.
+    /// Name of the platform plug-in.
     #[serde(default = "default_platform_plugin")]
     pub plugin: String,
-    /// Addresses, tried in turn.
+    /// Addresses of the platform, tried in turn.
     #[serde(default)]
     pub addresses: Vec<String>,
 }
@@ -133,39 +141,40 @@
     "http".to_owned()
 }
 
-/// Times, in milliseconds.
+/// Intervals, timeouts and other times, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
-    /// How long callers may keep an answer of `/v1/entries`.
+    /// How long callers may cache a response of `/v1/entries`.
     pub entries_valid_ms: u64,
-    /// Length of a ticket epoch. Five epochs must exceed `entries_valid_ms`.
+    /// Length of a ticket epoch. Five epochs must not be shorter than `entries_valid_ms`.
     pub ticket_epoch_ms: u64,
-    /// Between reads of the log.
+    /// Interval between reads of the log.
     pub config_poll_ms: u64,
-    /// Between rounds of heartbeats.
+    /// Interval between rounds of heartbeats.
     pub heartbeat_ms: u64,
-    /// Between reads of the platform's list.
+    /// Interval between reads of the platform's instance list.
     pub list_poll_ms: u64,
-    /// Between reads of an endpoint's load, and between reports to owners.
+    /// Interval between reads of an endpoint's load, and between reports to owners.
     pub load_poll_ms: u64,
-    /// A stream that is silent for this long is resumed on a new connection.
+    /// Stall timeout: a stream without events for this long is resumed on a new connection.
     pub stall_ms: u64,
-    /// How long an engine that went silent is tried before the generation counts as lost.
+    /// How long to retry an engine that stopped responding before its generation counts as lost.
     pub resume_patience_ms: u64,
-    /// How long a generation is kept for a caller that went away.
+    /// How long a generation is kept for a caller that has disconnected.
     pub resume_ms: u64,
-    /// Deadline of requests that name none.
+    /// Default deadline of a request.
     pub deadline_ms: u64,
-    /// How long a draining instance lets streams end before it moves them.
+    /// How long a draining instance waits for streams to end before it moves them.
     pub drain_streams_ms: u64,
-    /// How long a lease claim holds.
+    /// Validity of a lease claim.
     pub lease_ms: u64,
-    /// How long an order may take.
+    /// Timeout of an order to an engine.
     pub order_ms: u64,
-    /// How long the platform's log keeps records.
+    /// Retention time of records in the platform's log.
     pub log_retention_ms: u64,
-    /// Without log and most peers for this long, an instance takes no new work.
+    /// An instance that has reached neither the log nor most of its peers for this long accepts no
+    /// new work.
     pub stand_down_ms: u64,
 }
 
@@ -191,19 +200,19 @@
     }
 }
 
-/// Limits.
+/// Limits on sizes, counts and waits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body of a caller's request.
+    /// Maximum size of the body of a caller's request, in bytes.
     pub body_max_bytes: usize,
-    /// Requests marked not repeatable that are remembered.
+    /// Maximum number of requests marked not repeatable that are remembered.
     pub once_requests: usize,
-    /// Memory for their answers.
+    /// Memory for the responses to requests marked not repeatable, in bytes.
     pub once_bytes: usize,
-    /// Requests that wait for one group of endpoints.
+    /// Maximum number of requests queued for one group of endpoints.
     pub queue_length: usize,
-    /// Longest wait there.
+    /// Maximum time in that queue, in milliseconds.
     pub queue_wait_ms: u64,
 }
 
@@ -220,64 +229,64 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// File, line and field of the first fault.
+    /// Names the file, line and field of the first error.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         let settings: Self = read_jsonc(path)?;
-        settings.validate().map_err(|fault| {
+        settings.validate().map_err(|error| {
             let text = std::fs::read_to_string(path).unwrap_or_default();
             FileError {
                 file: path.display().to_string(),
-                line: line_of_field(&text, fault.field),
-                message: fault.to_string(),
+                line: line_of_field(&text, error.field),
+                message: error.to_string(),
             }
         })?;
         Ok(settings)
     }
 
-    /// Checks that need more than the types.
+    /// Validates what the types of the fields do not ensure.
     ///
     /// # Errors
-    /// The first field at fault.
+    /// Names the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let fault = |field, allowed: String| Err(SettingsError { field, allowed });
+        let invalid = |field, allowed: String| Err(SettingsError { field, allowed });
         if !is_valid_name(&self.instance) {
-            return fault("instance", "a name of a-z, 0-9, '-', '_', '.'".to_owned());
+            return invalid("instance", "a name of a-z, 0-9, '-', '_', '.'".to_owned());
         }
         if policy::build(&self.policy).is_none() {
-            return fault("policy", format!("one of {}", policy::names().join(", ")));
+            return invalid("policy", format!("one of {}", policy::names().join(", ")));
         }
         if let Some(routing) = &self.routing {
             routing.validate()?;
         } else if !log_service::names().contains(&self.platform.plugin.as_str()) {
-            return fault(
+            return invalid(
                 "plugin",
                 format!("one of {}", log_service::names().join(", ")),
             );
         }
         let times = &self.times;
         if times.ticket_epoch_ms * 5 < times.entries_valid_ms {
-            return fault(
+            return invalid(
                 "ticket_epoch_ms",
-                "a fifth of entries_valid_ms or more".to_owned(),
+                "at least a fifth of entries_valid_ms".to_owned(),
             );
         }
         if times.heartbeat_ms == 0 || times.config_poll_ms == 0 || times.load_poll_ms == 0 {
-            return fault(
+            return invalid(
                 "times",
                 "heartbeat_ms, config_poll_ms and load_poll_ms must be positive".to_owned(),
             );
         }
         if times.lease_ms < 4 * times.config_poll_ms {
-            return fault("lease_ms", "four times config_poll_ms or more".to_owned());
+            return invalid("lease_ms", "at least four times config_poll_ms".to_owned());
         }
         Ok(())
     }
 }
 
-/// Line on which a field first stands, from 1; 1 where it does not.
+/// Returns the line number, from 1, of the first occurrence of a field. Returns 1 if there is none.
 #[must_use]
 pub fn line_of_field(text: &str, field: &str) -> usize {
     let quoted = format!("\"{field}\"");
@@ -286,7 +295,9 @@
         .map_or(1, |index| index + 1)
 }
 
-/// Names of all registered plug-ins, by kind: a registration that was dropped at link time shows here.
+/// Names of all registered plug-ins by kind.
+///
+/// Operators see here if a registration was dropped at link time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PluginNames {
     /// Platform plug-ins.
@@ -295,11 +306,11 @@
     pub endpoint: Vec<&'static str>,
     /// Routing policies.
     pub policy: Vec<&'static str>,
-    /// Ways to reach a site's store.
+    /// Plug-ins that reach a site's store.
     pub store: Vec<&'static str>,
 }
 
-/// Lists the registered plug-ins.
+/// Returns the names of all registered plug-ins.
 #[must_use]
 pub fn plugin_names() -> PluginNames {
     PluginNames {
--- a/src/settings/routing.rs
+++ b/src/settings/routing.rs
@@ -1,4 +1,4 @@
-//! What the settings file says of routing.
+//! Settings of an instance that serves the routes of a site.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,56 +15,61 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingSettings {
-    /// Where the platform asks whether this instance takes callers.
+    /// IP address and port where the platform checks whether this instance is ready for callers.
     pub ready_address: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// IP address and port of the directory, where callers look up the addresses to connect to.
     pub directory_address: SocketAddr,
-    /// Plug-in that reaches the store.
+    /// Name of the plug-in that reaches the store.
     #[serde(default = "default_store_plugin")]
     pub store_plugin: String,
-    /// The store.
+    /// IP address and port of the store.
     pub store_address: SocketAddr,
-    /// Peer addresses of a few members, which may be gone: the way in for a start while the store is down.
+    /// Peer addresses of a few members, used to join the site if the store is down at start. Some
+    /// of them may no longer exist.
     #[serde(default)]
     pub seed_addresses: Vec<SocketAddr>,
-    /// Where peers connect, if that is not `peer_address`: a forwarder stands before this instance.
+    /// Address announced to peers, if it differs from `peer_address` because a forwarder stands in
+    /// front of this instance.
     #[serde(default)]
     pub peer_address_told: Option<SocketAddr>,
     /// Processor share of this instance, in cores.
     pub processor_cores: f64,
-    /// Speed of this instance's link.
+    /// Network bandwidth of this instance, in Mbit/s.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// How long callers may keep the answer of the directory.
+    /// How long callers may cache a response of the directory, in milliseconds.
     pub directory_valid_ms: u64,
-    /// After a request to stop, the process is killed at this time.
+    /// Time in seconds after a request to stop at which the process is killed.
     pub stop_within_s: f64,
-    /// Repeats that the site allows, as a share of the requests.
+    /// Retry budget of the site, as a fraction of its requests.
     pub retry_share: f64,
-    /// Repeats that the site allows on top of that, in all instances together.
+    /// Retries that the site allows in addition to `retry_share`, in total over all instances.
     pub retry_slack: f64,
-    /// The span that repeats are counted over: an instance that has started leaves what is allowed on top alone for so long.
+    /// Time window in seconds over which retries are counted. An instance does not use
+    /// `retry_slack` for this long after its start.
     #[serde(default = "default_retry_window_s")]
     pub retry_window_s: f64,
-    /// Within this time a change of the configuration or of the endpoints has to be in force at every instance.
+    /// Maximum time in milliseconds until a change of the configuration or of the endpoints must be
+    /// in force at every instance.
     #[serde(default = "default_change_within_ms")]
     pub change_within_ms: f64,
-    /// Longest time that a call is held which comes before configuration and endpoints are known.
+    /// Maximum time in milliseconds for which a call is held that arrives before the configuration
+    /// and the endpoints are known.
     #[serde(default = "default_hold_max_ms")]
     pub hold_max_ms: u64,
 }
 
-/// The span that the users count over.
+/// The window over which users count retries.
 fn default_retry_window_s() -> f64 {
     10.0
 }
 
-/// The shortest time that users have asked for.
+/// The shortest time that users require.
 fn default_change_within_ms() -> f64 {
     2_000.0
 }
 
-/// Just below the two seconds after which callers leave a generation that has not begun.
+/// Just below 2 s, after which callers abandon a generation that has not started.
 fn default_hold_max_ms() -> u64 {
     1_900
 }
@@ -74,70 +79,71 @@
 }
 
 impl RoutingSettings {
-    /// Checks that need more than the types.
+    /// Validates what the types of the fields do not ensure.
     ///
     /// # Errors
-    /// The first field at fault.
+    /// Names the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let fault = |field, allowed: &str| {
+        let invalid = |field, allowed: &str| {
             Err(SettingsError {
                 field,
                 allowed: allowed.to_owned(),
             })
         };
         if !site_store::names().contains(&self.store_plugin.as_str()) {
-            let known = format!("one of {}", site_store::names().join(", "));
-            return fault("store_plugin", &known);
+            let allowed = format!("one of {}", site_store::names().join(", "));
+            return invalid("store_plugin", &allowed);
         }
         if !(self.processor_cores > 0.0 && self.processor_cores.is_finite()) {
-            return fault("processor_cores", "a positive number");
+            return invalid("processor_cores", "a positive number");
         }
         if !(self.link_mbps > 0.0 && self.link_mbps.is_finite()) {
-            return fault("link_mbps", "a positive number");
+            return invalid("link_mbps", "a positive number");
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return fault("retry_share", "a number from 0 to 1");
+            return invalid("retry_share", "a number from 0 to 1");
         }
         if !(self.retry_slack >= 0.0 && self.retry_slack.is_finite()) {
-            return fault("retry_slack", "a number that is not negative");
+            return invalid("retry_slack", "a number that is not negative");
         }
         if !(0.0..=3_600.0).contains(&self.retry_window_s) {
-            return fault("retry_window_s", "a number from 0 to 3600");
+            return invalid("retry_window_s", "a number from 0 to 3600");
         }
         if !(500.0..=3_600_000.0).contains(&self.change_within_ms) {
-            return fault("change_within_ms", "a number from 500 to 3600000");
+            return invalid("change_within_ms", "a number from 500 to 3600000");
         }
         if !(1.0..=3_600.0).contains(&self.stop_within_s) {
-            return fault("stop_within_s", "a number from 1 to 3600");
+            return invalid("stop_within_s", "a number from 1 to 3600");
         }
         Ok(())
     }
 
-    /// After a request to stop, the process is killed at this time.
+    /// Returns the time after a request to stop at which the process is killed.
     #[must_use]
     pub fn stop_within(&self) -> Duration {
         Duration::from_secs_f64(self.stop_within_s)
     }
 
-    /// The span that repeats are counted over.
+    /// Returns the time window over which retries are counted.
     #[must_use]
     pub fn retry_window(&self) -> Duration {
         Duration::from_secs_f64(self.retry_window_s)
     }
 
-    /// How fresh what the instances know must be.
+    /// Returns how up to date the state known to the instances must be.
     #[must_use]
     pub fn freshness(&self) -> Freshness {
         Freshness::new(Duration::from_secs_f64(self.change_within_ms / 1_000.0))
     }
 
-    /// Longest time that a call is held which comes before configuration and endpoints are known.
+    /// Returns the maximum time for which a call is held that arrives before the configuration and
+    /// the endpoints are known.
     #[must_use]
     pub fn hold_max(&self) -> Duration {
         ms(self.hold_max_ms)
     }
 
-    /// How long callers may keep the answer of the directory.
+    /// Returns how long callers may cache a response of the directory.
     #[must_use]
     pub fn directory_valid(&self) -> Duration {
         ms(self.directory_valid_ms)
