--- a/src/log_service/embedded.rs
+++ b/src/log_service/embedded.rs
@@ -1,4 +1,5 @@
-//! Platform plug-in `embedded`: the stand-in platform inside this process, for the demo and examples.
+//! Platform plug-in `embedded`: runs the stand-in platform in this process, for the demo and
+//! examples.
 
 use std::sync::Arc;
 
@@ -19,15 +20,16 @@
     }
 }
 
-struct Embedded(Arc<PlatformCore>);
+/// Adapts the stand-in platform to the platform traits.
+struct EmbeddedPlatform(Arc<PlatformCore>);
 
-/// Connects to a platform inside this process.
+/// Returns a connection to a platform in this process.
 #[must_use]
 pub fn connect(core: Arc<PlatformCore>) -> Platform {
-    let embedded = Arc::new(Embedded(core));
+    let platform = Arc::new(EmbeddedPlatform(core));
     Platform {
-        log: embedded.clone(),
-        instances: embedded,
+        log: platform.clone(),
+        instances: platform,
     }
 }
 
@@ -41,7 +43,7 @@
 }
 
 #[async_trait]
-impl AppendLog for Embedded {
+impl AppendLog for EmbeddedPlatform {
     async fn append(&self, stream: &str, record: Value) -> PlatformResult<u64> {
         Ok(self.0.append(stream, record)?)
     }
@@ -52,7 +54,7 @@
 }
 
 #[async_trait]
-impl InstanceList for Embedded {
+impl InstanceList for EmbeddedPlatform {
     async fn list(&self) -> PlatformResult<Vec<ListedInstance>> {
         Ok(self.0.list()?)
     }
--- a/src/log_service/http.rs
+++ b/src/log_service/http.rs
@@ -1,4 +1,6 @@
-//! Platform plug-in `http`: the published protocol of docs/PLATFORM.md. Addresses are tried in turn.
+//! Platform plug-in `http`: speaks the protocol of docs/PLATFORM.md.
+//!
+//! After a failed call, the next call goes to the next address.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,21 +23,21 @@
 #[derive(Debug)]
 struct HttpPlatform {
     client: reqwest::Client,
-    /// Never empty.
+    /// Addresses of the platform; at least one.
     addresses: Vec<String>,
-    /// Index of the address that answered last.
+    /// Index of the address to use, modulo the number of addresses. Incremented when a call fails.
     preferred: AtomicUsize,
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 fn connect(addresses: &[String]) -> anyhow::Result<Platform> {
     anyhow::ensure!(
         !addresses.is_empty(),
-        "platform plug-in \"http\" needs addresses"
+        "platform plug-in \"http\" needs at least one address"
     );
     let platform = Arc::new(HttpPlatform {
         client: crate::endpoint::no_retry_client(CALL_TIMEOUT)?,
@@ -78,7 +80,7 @@
         Err(PlatformError::NoAnswer(status.to_string()))
     }
 
-    async fn json<T: DeserializeOwned>(
+    async fn call_json<T: DeserializeOwned>(
         &self,
         request: reqwest::RequestBuilder,
     ) -> PlatformResult<T> {
@@ -94,13 +96,13 @@
 impl AppendLog for HttpPlatform {
     async fn append(&self, stream: &str, record: Value) -> PlatformResult<u64> {
         let url = self.url(&format!("/log/{stream}"));
-        let appended: Appended = self.json(self.client.post(url).json(&record)).await?;
-        Ok(appended.offset)
+        let response: AppendResponse = self.call_json(self.client.post(url).json(&record)).await?;
+        Ok(response.offset)
     }
 
     async fn read(&self, stream: &str, from_offset: u64) -> PlatformResult<LogPage> {
         let url = self.url(&format!("/log/{stream}?from={from_offset}"));
-        self.json(self.client.get(url)).await
+        self.call_json(self.client.get(url)).await
     }
 }
 
@@ -108,7 +110,7 @@
 impl InstanceList for HttpPlatform {
     async fn list(&self) -> PlatformResult<Vec<ListedInstance>> {
         let url = self.url("/instances");
-        self.json(self.client.get(url)).await
+        self.call_json(self.client.get(url)).await
     }
 
     async fn announce(&self, instance: &ListedInstance) -> PlatformResult<()> {
--- a/src/log_service/mod.rs
+++ b/src/log_service/mod.rs
@@ -1,4 +1,11 @@
-//! The platform's service as larkwick sees it: an append-only log and a list of instances, behind traits with plug-ins.
+//! Client of the platform's service: an append-only log and a list of instances.
+//!
+//! Both are traits that plug-ins implement. Plug-ins register themselves with [`inventory`].
+//!
+//! | file | subject |
+//! |---|---|
+//! | `embedded` | plug-in `embedded` |
+//! | `http` | plug-in `http` |
 
 mod embedded;
 mod http;
@@ -13,16 +20,16 @@
 
 pub use embedded::connect as embedded;
 
-/// Stream that carries the published configuration, the lease claims and the snapshots.
+/// Log stream with the published configuration, the lease claims and the snapshots.
 pub const CONFIG_STREAM: &str = "config";
 
-/// A call to the platform that did not succeed.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum PlatformError {
-    /// Refused before any effect.
+    /// The platform refused the call; it had no effect.
     #[error("platform refused: {0}")]
     Refused(String),
-    /// No answer: the call may have taken effect.
+    /// The platform did not answer as expected; the call may have taken effect.
     #[error("platform did not answer: {0}")]
     NoAnswer(String),
 }
@@ -30,69 +37,70 @@
 /// Result of a call to the platform.
 pub type PlatformResult<T> = Result<T, PlatformError>;
 
-/// Consecutive records of a stream.
+/// A page of consecutive records of a log stream.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LogPage {
-    /// First offset that the log still keeps.
+    /// Offset of the oldest record that the log retains.
     pub first_kept: u64,
-    /// Offset that the next append will get.
+    /// Offset of the next record to be appended.
     pub head: u64,
-    /// Offset of the first record below. At least the offset asked for; above it where records have expired.
+    /// Offset of the first record in `records`: the requested offset, or a higher one if records
+    /// have expired.
     pub first_offset: u64,
-    /// Records.
+    /// The records, in order of their offsets.
     pub records: Vec<Value>,
 }
 
 /// The append-only log.
 #[async_trait]
 pub trait AppendLog: Send + Sync {
-    /// Appends a record and gives its offset.
+    /// Appends a record and returns its offset.
     async fn append(&self, stream: &str, record: Value) -> PlatformResult<u64>;
-    /// Reads records from an offset on.
+    /// Reads a page of records from an offset.
     async fn read(&self, stream: &str, from_offset: u64) -> PlatformResult<LogPage>;
 }
 
-/// An entry of the platform's list.
+/// An entry of the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Instance or endpoint, and its incarnation.
+    /// Incarnation of the instance or endpoint.
     pub incarnation: Incarnation,
-    /// Whether it is leaving.
+    /// Whether the instance or endpoint is leaving.
     pub leaving: bool,
-    /// Present for instances of larkwick.
+    /// Peer status. Present for larkwick instances only.
     #[serde(default)]
     pub status: Option<PeerStatus>,
 }
 
-/// The lagging list of instances.
+/// The platform's instance list, which lags behind the actual state.
 #[async_trait]
 pub trait InstanceList: Send + Sync {
-    /// Live and leaving instances.
+    /// Returns the live and leaving instances.
     async fn list(&self) -> PlatformResult<Vec<ListedInstance>>;
-    /// Tells the platform about this instance.
+    /// Announces this instance to the platform.
     async fn announce(&self, instance: &ListedInstance) -> PlatformResult<()>;
 }
 
 /// A connection to the platform.
 #[derive(Clone)]
 pub struct Platform {
-    /// The log.
+    /// Client of the append-only log.
     pub log: Arc<dyn AppendLog>,
-    /// The list.
+    /// Client of the instance list.
     pub instances: Arc<dyn InstanceList>,
 }
 
 /// A registered platform plug-in.
 pub struct PlatformPlugin {
-    /// Name in the settings.
+    /// Name by which the settings refer to the plug-in.
     pub name: &'static str,
-    /// Connects, given the addresses of the settings.
+    /// Connects to the platform at the addresses in the settings.
     pub connect: fn(addresses: &[String]) -> anyhow::Result<Platform>,
 }
 
 inventory::collect!(PlatformPlugin);
 
-/// Names of the registered plug-ins, sorted.
+/// Returns the names of the registered plug-ins in sorted order.
 #[must_use]
 pub fn names() -> Vec<&'static str> {
     let mut names: Vec<_> = inventory::iter::<PlatformPlugin>()
@@ -102,17 +110,17 @@
     names
 }
 
-/// Connects by plug-in name.
+/// Connects to the platform with the plug-in of the given name.
 ///
 /// # Errors
-/// The name is unknown, or the addresses do not suit the plug-in.
+/// The plug-in is unknown or cannot use the addresses.
 pub fn connect(plugin: &str, addresses: &[String]) -> anyhow::Result<Platform> {
-    let found = inventory::iter::<PlatformPlugin>().find(|known| known.name == plugin);
-    let Some(found) = found else {
+    let plugin_entry = inventory::iter::<PlatformPlugin>().find(|entry| entry.name == plugin);
+    let Some(plugin_entry) = plugin_entry else {
         anyhow::bail!(
             "unknown platform plug-in {plugin:?}; known: {}",
             names().join(", ")
         );
     };
-    (found.connect)(addresses)
+    (plugin_entry.connect)(addresses)
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! What operators see on an address of its own: the state dump, metrics, the configuration and the planned stop.
+//! The HTTP API for operators, on its own address: status, state dump, metrics, configuration and
+//! drain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,16 +21,16 @@
 use crate::kernel::membership::{Incarnation, PeerStatus};
 use crate::settings::PluginNames;
 
-type Shared = State<Arc<Node>>;
+type NodeState = State<Arc<Node>>;
 
-/// Adds the operators' routes.
+/// Mounts the routes for operators.
 pub(crate) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
     rocket.mount("/", routes![state, status, metrics, config, begin_drain])
 }
 
-/// The state of a process.
+/// Dump of the state of an instance, the response of `/debug/state`.
 #[derive(Serialize)]
-struct Dump {
+struct StateDump {
     status: StatusDump,
     addresses: Addresses,
     plugins: PluginNames,
@@ -40,12 +41,13 @@
     endpoints: BTreeMap<String, EndpointDump>,
     groups: BTreeMap<String, GroupDump>,
     lease: LeaseDump,
-    once: OnceDump,
+    once: IdempotencyCacheDump,
     reservations_held: usize,
-    /// Memory of the process; absent where the system does not tell.
+    /// Resident memory of the process. `None` if the operating system does not report it.
     memory_resident_bytes: Option<u64>,
 }
 
+/// Status of an instance, the response of `/status`.
 #[derive(Serialize)]
 struct StatusDump {
     instance: String,
@@ -59,6 +61,7 @@
     members_live: usize,
 }
 
+/// A member as this instance knows it.
 #[derive(Serialize)]
 struct MemberDump {
     status: PeerStatus,
@@ -66,13 +69,14 @@
     last_listed_ms_ago: Option<u64>,
 }
 
+/// Size of the idempotency cache.
 #[derive(Serialize)]
-struct OnceDump {
+struct IdempotencyCacheDump {
     requests: usize,
     bytes: usize,
 }
 
-fn status_of(node: &Node) -> StatusDump {
+fn status_dump(node: &Node) -> StatusDump {
     let members_live = {
         let members = node.members.lock();
         members.live(&node.settings.hall, node.now()).count()
@@ -90,7 +94,7 @@
     }
 }
 
-/// Resident memory, as Linux tells it.
+/// Returns the resident memory of the process as Linux reports it in `/proc`.
 fn memory_resident_bytes() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
@@ -99,12 +103,12 @@
 }
 
 #[get("/status")]
-fn status(node: &Shared) -> Json<StatusDump> {
-    Json(status_of(node))
+fn status(node: &NodeState) -> Json<StatusDump> {
+    Json(status_dump(node))
 }
 
 #[get("/debug/state")]
-fn state(node: &Shared) -> Json<Dump> {
+fn state(node: &NodeState) -> Json<StateDump> {
     let now = node.now();
     let (members, departures) = {
         let members = node.members.lock();
@@ -116,8 +120,8 @@
         let departures = members.departures.iter().cloned().collect();
         (peers.collect(), departures)
     };
-    Json(Dump {
-        status: status_of(node),
+    Json(StateDump {
+        status: status_dump(node),
         addresses: node.addresses(),
         plugins: crate::settings::plugin_names(),
         policy: node.settings.policy.clone(),
@@ -127,7 +131,7 @@
         endpoints: node.endpoints.dump(node),
         groups: node.dump_groups(),
         lease: node.dump_lease(),
-        once: OnceDump {
+        once: IdempotencyCacheDump {
             requests: node.idempotency.len(),
             bytes: node.idempotency.size_bytes(),
         },
@@ -143,12 +147,12 @@
 }
 
 #[get("/config")]
-fn config(node: &Shared) -> Json<ConfigState> {
+fn config(node: &NodeState) -> Json<ConfigState> {
     Json(node.config.state())
 }
 
 #[post("/drain")]
-fn begin_drain(node: &Shared) -> Status {
+fn begin_drain(node: &NodeState) -> Status {
     tokio::spawn(drain::run(node.inner().clone()));
     Status::Accepted
 }
