--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -118,7 +118,7 @@
 /// Builds the response for an error of larkwick itself.
 #[must_use]
 pub fn error_response(error: &Error) -> Response<Bytes> {
-    let mapping = error.kind.answer();
+    let mapping = error.kind.response_rule();
     let body = serde_json::to_vec(&error.body()).unwrap_or_default();
     let mut response = Response::new(Bytes::from(body));
     *response.status_mut() =
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -12,7 +12,7 @@
 use super::arrivals::{ACCOUNTS, Mix, PlannedRequest, engine_capacity_per_s, poisson_arrivals};
 use super::overhead::micros;
 use super::stream::{MODEL, StreamMeasurement, StreamOutcome, Target, drive_stream};
-use crate::endpoint::plain_client;
+use crate::endpoint::no_retry_client;
 use crate::kernel::clock::SystemClock;
 use crate::kernel::policy::LoadedModel;
 use crate::log_service::{self, Platform};
@@ -237,7 +237,7 @@
     arrivals: &[PlannedRequest],
 ) -> anyhow::Result<RunMetrics> {
     let site = set_up(options, policy).await?;
-    let client = plain_client(Duration::from_secs(1))?;
+    let client = no_retry_client(Duration::from_secs(1))?;
     let keys: Vec<String> = (0..ACCOUNTS.len()).map(account_key).collect();
     let start = Instant::now();
     let mut streams = Vec::new();
--- a/src/tool/load/overhead.rs
+++ b/src/tool/load/overhead.rs
@@ -10,7 +10,7 @@
 
 use super::arrivals::{Mix, PlannedRequest};
 use super::stream::{StreamMeasurement, StreamOutcome, Target, drive_stream};
-use crate::endpoint::plain_client;
+use crate::endpoint::no_retry_client;
 
 const ROUNDS: u32 = 6;
 
@@ -113,7 +113,7 @@
 }
 
 async fn drive_streams(options: OverheadOptions, target: Target) -> Vec<StreamMeasurement> {
-    let Ok(client) = plain_client(Duration::from_secs(1)) else {
+    let Ok(client) = no_retry_client(Duration::from_secs(1)) else {
         return Vec::new();
     };
     let start = Instant::now();
