--- a/src/gateway/aborted_requests.rs
+++ b/src/gateway/aborted_requests.rs
@@ -156,7 +156,7 @@
         }
         let now = gateway.now();
         gateway
-            .looks
+            .presence_probes
             .presence(&gateway.upstream, endpoint, now)
             .await
     }
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -1,4 +1,4 @@
-//! Starts an instance that serves routes, and stops it as planned.
+//! Start-up and graceful shutdown of an instance that serves routes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,13 +11,13 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use super::listener::{self, Surface};
+use super::listener::{self, ListenerKind};
 use super::node::{Gateway, MEMBER_RING};
 use super::peers::SiteService;
 use super::site_store::{self, SiteStore, Subject};
 use super::{
-    coordinator, crash_suspects, endpoint_words, engine_reports, follow, heartbeat, operators,
-    run_reports, tally,
+    coordinator, crash_suspects, endpoint_signals, engine_reports, follow, heartbeat, operator_api,
+    run_reports, work_counters,
 };
 use crate::daemon::app::metrics_handle;
 use crate::kernel::backoff::Backoff;
@@ -27,20 +27,21 @@
 use crate::settings::Settings;
 use crate::standin::server::{Server, rocket_at, start, stop_all};
 
-/// How often it is looked whether an endpoint that is doubted has to count as gone.
-const SETTLE_EVERY: Duration = Duration::from_millis(200);
-/// After so many of these, state of endpoints that are gone is dropped: once a second.
-const SETTLES_A_TIDY: u32 = 5;
-/// First pause before this instance's own entry is written again.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(300);
-/// Longest such pause.
-const ANNOUNCE_PAUSE_MAX: Duration = Duration::from_secs(2);
-/// After a request to stop, callers that still hold the address are answered for this many times its validity.
-const ADDRESS_HELD_TIMES: f64 = 1.5;
-/// Left of the time to stop when what is still in flight is cut.
+/// Interval at which endpoints that may be gone are checked for expiry.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// State of unknown endpoints is pruned once per this many checks, that is once per second.
+const EXPIRY_CHECKS_PER_PRUNE: u32 = 5;
+/// Initial pause before writing this instance's own entry is retried.
+const ANNOUNCE_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum pause before writing this instance's own entry is retried.
+const ANNOUNCE_RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
+/// During shutdown, callers that still use a cached address are answered for this multiple of the
+/// validity of directory entries.
+const ADDRESS_VALIDITY_FACTOR: f64 = 1.5;
+/// Part of the shutdown time that is reserved for closing after in-flight calls are aborted.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
-/// How often a stop looks whether everything has ended.
-const STOP_CHECK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which shutdown checks whether all calls have ended.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running instance that serves routes.
 pub struct GatewayApp {
@@ -52,20 +53,20 @@
 }
 
 impl GatewayApp {
-    /// Starts an instance.
+    /// Starts an instance with the system clock.
     ///
     /// # Errors
-    /// The settings are wrong or an address cannot be bound.
+    /// The settings are invalid or an address cannot be bound.
     pub async fn start(settings: Settings, settings_file: Option<&Path>) -> anyhow::Result<Self> {
         let clock = Arc::new(SystemClock::default());
-        Self::start_by_clock(settings, settings_file, clock).await
+        Self::start_with_clock(settings, settings_file, clock).await
     }
 
-    /// Starts an instance that reads the time from a given clock.
+    /// Starts an instance with a given clock.
     ///
     /// # Errors
-    /// The settings are wrong or an address cannot be bound.
-    pub async fn start_by_clock(
+    /// The settings are invalid or an address cannot be bound.
+    pub async fn start_with_clock(
         settings: Settings,
         settings_file: Option<&Path>,
         clock: Arc<dyn Clock>,
@@ -83,7 +84,7 @@
         let rocket = rocket_at(gateway.settings.operator_address)
             .manage(gateway.clone())
             .manage(metrics);
-        let operators = start(operators::mount(rocket)).await;
+        let operators = start(operator_api::mount(rocket)).await;
         let operators = operators.context("operator_address")?;
         let operator_address = operators.address;
         let mut app = Self {
@@ -94,7 +95,7 @@
             operator_address,
         };
         app.serve(listeners);
-        app.spawn_loops();
+        app.spawn_tasks();
         info!("instance started", kv: {
             instance = gateway.incarnation.name.as_str(),
             incarnation: = gateway.incarnation.id,
@@ -118,21 +119,21 @@
                 .add_service(service)
                 .serve_with_incoming(incoming);
             if let Err(error) = served.await {
-                spdlog::error!("peer server ended: {}", error);
+                spdlog::error!("peer server failed: {}", error);
             }
         }));
-        let surfaces = [
-            (listeners.ready, Surface::Ready),
-            (listeners.directory, Surface::Directory),
-            (listeners.callers, Surface::Callers),
+        let listener_kinds = [
+            (listeners.ready, ListenerKind::Ready),
+            (listeners.directory, ListenerKind::Directory),
+            (listeners.callers, ListenerKind::Callers),
         ];
-        for (listener, surface) in surfaces {
-            let run = listener::run(gateway.clone(), listener, surface);
+        for (listener, kind) in listener_kinds {
+            let run = listener::run(gateway.clone(), listener, kind);
             self.tasks.push(tokio::spawn(run));
         }
     }
 
-    fn spawn_loops(&mut self) {
+    fn spawn_tasks(&mut self) {
         let gateway = &self.gateway;
         let subjects = [Subject::Configuration, Subject::Endpoints, Subject::Members];
         for subject in subjects {
@@ -150,31 +151,33 @@
         self.tasks
             .push(tokio::spawn(crash_suspects::run(gateway.clone())));
         self.tasks
-            .push(tokio::spawn(endpoint_words::run(gateway.clone())));
-        self.tasks.push(tokio::spawn(announce(gateway.clone())));
-        self.tasks.push(tokio::spawn(tidy(gateway.clone())));
-        self.tasks.push(tokio::spawn(tell_tally(gateway.clone())));
+            .push(tokio::spawn(endpoint_signals::run(gateway.clone())));
+        self.tasks
+            .push(tokio::spawn(announce_own_entry(gateway.clone())));
+        self.tasks
+            .push(tokio::spawn(run_maintenance(gateway.clone())));
+        self.tasks.push(tokio::spawn(log_counters(gateway.clone())));
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     #[must_use]
     pub fn caller_address(&self) -> SocketAddr {
         self.gateway.settings.caller_address
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators.
     #[must_use]
     pub fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether callers may be routed to this instance.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.gateway.is_ready()
     }
 
-    /// Reads the settings file again and puts in force what can change in a running instance.
+    /// Reloads the settings file and applies the settings that can change at run time.
     pub fn reload(&self) {
         let Some(path) = &self.settings_file else {
             return;
@@ -186,38 +189,43 @@
                 *self.gateway.routing.write() = routing;
                 info!("settings read again", kv: { changed: });
             }
-            Ok(None) => warn!("settings kept: the file has no \"routing\" any more"),
-            Err(error) => warn!("settings kept: {}", error),
+            Ok(None) => warn!("settings not reloaded: the file has no \"routing\" section"),
+            Err(error) => warn!("settings not reloaded: {}", error),
         }
     }
 
-    /// Asked to stop: leaves the directory, answers what is in flight and what still comes, and ends within the time allowed.
+    /// Shuts down gracefully within the configured time.
+    ///
+    /// Leaves the directory, and continues to answer calls in flight and those that still arrive.
     pub async fn stop(self) {
         let gateway = &self.gateway;
-        let begun = gateway.now();
+        let started_at = gateway.now();
         info!("instance stopping", kv: { calls: = gateway.in_flight.calls() });
-        let (held, within) = {
+        let (address_validity, timeout) = {
             let routing = gateway.routing.read();
-            let held = routing.directory_valid().mul_f64(ADDRESS_HELD_TIMES);
-            (held, routing.stop_within().saturating_sub(STOP_MARGIN))
+            let address_validity = routing.directory_valid().mul_f64(ADDRESS_VALIDITY_FACTOR);
+            (
+                address_validity,
+                routing.stop_within().saturating_sub(STOP_MARGIN),
+            )
         };
-        *gateway.ends_at.lock() = Some(begun + within);
-        gateway.in_flight.leave();
-        heartbeat::beat_round(gateway);
+        *gateway.ends_at.lock() = Some(started_at + timeout);
+        gateway.in_flight.mark_leaving();
+        heartbeat::send_heartbeats(gateway);
         loop {
-            let age = gateway.now().saturating_sub(begun);
-            let idle = gateway.in_flight.calls() == 0;
-            if age >= within || (idle && age >= held.min(within)) {
+            let elapsed = gateway.now().saturating_sub(started_at);
+            let is_idle = gateway.in_flight.calls() == 0;
+            if elapsed >= timeout || (is_idle && elapsed >= address_validity.min(timeout)) {
                 break;
             }
-            tokio::time::sleep(STOP_CHECK_EVERY).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
-        let took_ms = millis(gateway.now().saturating_sub(begun));
+        let took_ms = millis(gateway.now().saturating_sub(started_at));
         info!("instance stopped", kv: { calls_cut: = gateway.in_flight.calls(), took_ms: });
         self.abort().await;
     }
 
-    /// Ends at once.
+    /// Stops immediately, without waiting for calls in flight.
     pub async fn abort(self) {
         for task in &self.tasks {
             task.abort();
@@ -226,7 +234,8 @@
     }
 }
 
-/// The listeners of an instance, bound before anything else so that ports that were left open are known.
+/// The listeners of an instance. They are bound first so that ports assigned by the operating system
+/// are known.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
@@ -235,7 +244,7 @@
 }
 
 impl Listeners {
-    /// Binds all, and puts the ports taken into the settings.
+    /// Binds all listeners and stores their actual addresses in the settings.
     async fn bind(settings: &mut Settings) -> anyhow::Result<Self> {
         let peers = bind("peer_address", &mut settings.peer_address).await?;
         let callers = bind("caller_address", &mut settings.caller_address).await?;
@@ -260,34 +269,36 @@
     Ok(listener)
 }
 
-/// Writes this instance's own entry, until the store has taken it.
-async fn announce(gateway: Arc<Gateway>) {
+/// Writes this instance's own entry to the store, with retries, and again whenever it is lost.
+async fn announce_own_entry(gateway: Arc<Gateway>) {
     let entry = gateway.member_entry();
-    gateway.take_member_entry(entry.clone());
-    let mut pause = Backoff::new(ANNOUNCE_PAUSE, ANNOUNCE_PAUSE_MAX);
+    gateway.record_member_entry(entry.clone());
+    let mut pause = Backoff::new(ANNOUNCE_RETRY_PAUSE, ANNOUNCE_RETRY_PAUSE_MAX);
     loop {
         while let Err(error) = gateway.store.announce(&entry).await {
-            warn!("own entry not written", kv: { why: = error });
+            warn!("failed to write own member entry", kv: { why: = error });
             let pause = pause.next_pause(rand::rng().random_range(0.0..1.0));
             tokio::time::sleep(pause).await;
         }
         pause.reset();
-        // The store may come back from a copy that lacks it.
-        gateway.entry_lost.notified().await;
+        // The store may be restored from an older copy that lacks the entry.
+        gateway.own_entry_lost.notified().await;
     }
 }
 
-async fn tell_tally(gateway: Arc<Gateway>) {
+async fn log_counters(gateway: Arc<Gateway>) {
     loop {
-        tokio::time::sleep(tally::TOLD_EVERY).await;
-        gateway.tally.tell();
-        tell_evidence(&gateway);
+        tokio::time::sleep(work_counters::LOG_INTERVAL).await;
+        gateway.work_counters.log_and_reset();
+        log_liveness_counts(&gateway);
     }
 }
 
-/// Tells on what grounds members count as live: whoever is live without having been heard is so because nobody has said otherwise.
-fn tell_evidence(gateway: &Gateway) {
-    let evidence = {
+/// Logs how many members count as live, by kind of evidence.
+///
+/// Members without a received heartbeat count as live as long as no peer reports otherwise.
+fn log_liveness_counts(gateway: &Gateway) {
+    let counts = {
         let members = gateway.members.lock();
         members.liveness_counts(MEMBER_RING, gateway.now())
     };
@@ -296,7 +307,7 @@
         unreported,
         reported,
         silent,
-    } = evidence;
+    } = counts;
     info!("members by evidence", kv: { heard:, unreported:, reported:, silent: });
     let counts = [
         ("heard", heard),
@@ -310,16 +321,16 @@
     }
 }
 
-async fn tidy(gateway: Arc<Gateway>) {
+async fn run_maintenance(gateway: Arc<Gateway>) {
     let mut rounds: u32 = 0;
     loop {
-        tokio::time::sleep(SETTLE_EVERY).await;
+        tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
         gateway.check_for_suspension();
         let changes = gateway.fleet.lock().expire_entries(gateway.now());
         follow::tell_changes(&changes);
-        gateway.settle_halls();
+        gateway.advance_halls();
         rounds = rounds.wrapping_add(1);
-        if !rounds.is_multiple_of(SETTLES_A_TIDY) {
+        if !rounds.is_multiple_of(EXPIRY_CHECKS_PER_PRUNE) {
             continue;
         }
         let known: std::collections::HashSet<String> = {
@@ -329,12 +340,16 @@
                 .map(|(entry, _)| entry.id.clone())
                 .collect()
         };
-        gateway.look_at_sharers();
-        gateway.cold_gate.lock().prune(gateway.now());
+        gateway.observe_sharing_instances();
+        gateway.cold_rate_limiter.lock().prune(gateway.now());
         let now = gateway.now();
         let is_known = |endpoint: &str| known.contains(endpoint);
-        gateway.words.rests.lock().prune(is_known, now);
-        gateway.words.permits.tidy(is_known);
+        gateway
+            .endpoint_signals
+            .cooldowns
+            .lock()
+            .prune(is_known, now);
+        gateway.endpoint_signals.permits.prune(is_known);
         gateway
             .upstream
             .prune_idle(|endpoint| known.contains(endpoint));
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -8,8 +8,8 @@
 
 use spdlog::{info, warn};
 
+use super::chunked_pages::EncodedPage;
 use super::node::Gateway;
-use super::parts::EncodedPage;
 use super::site_store::Subject;
 use crate::kernel::clock::millis;
 use crate::kernel::route::RouteConfig;
@@ -55,7 +55,7 @@
             info!("configuration taken from peer", kv: {
                 version: = config.version, peer = address, took_ms:,
             });
-            gateway.take_config(config, "peer");
+            gateway.apply_config(config, "peer");
         }
         Ok(None) => {}
         Err(why) => {
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -179,9 +179,9 @@
         .service(service)
         .and_then(|service| service.cold_start);
     let sender = cold_sender(gateway, service);
-    let permits = &gateway.words.permits;
+    let permits = &gateway.endpoint_signals.permits;
     let limits_version = permits.limits_version();
-    let limit_share = permits.names_any().then(|| gateway.sum_share(service));
+    let limit_share = permits.has_limits().then(|| gateway.issuer_share(service));
     let entries = {
         let fleet = gateway.fleet.lock();
         let engines_of = EnginesOf {
@@ -232,7 +232,7 @@
         Sender::Owner
     } else {
         Sender::Standalone {
-            instances: gateway.instances(),
+            instances: gateway.reachable_instance_count(),
         }
     }
 }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -197,7 +197,7 @@
             // The caller may retry at once at any instance. With regular heartbeats each 0.5 s, 14
             // attempts 28 ms apart at three instances crashed nine engines instead of three (six
             // runs).
-            heartbeat::beat_soon(self);
+            heartbeat::try_send_early_heartbeats(self);
         }
     }
 
@@ -208,7 +208,7 @@
         if was_known {
             info!("content let go by an operator", kv: { content: = fingerprint });
             self.suspects_changed.notify_one();
-            heartbeat::beat_soon(self);
+            heartbeat::try_send_early_heartbeats(self);
         }
         was_known
     }
@@ -223,7 +223,7 @@
             let change = self.suspects.lock().merge(&received, self.now());
             self.handle_suspect_change(received.fingerprint, change, "member");
             if change == SuspectChange::NowRefused {
-                heartbeat::beat_soon(self);
+                heartbeat::try_send_early_heartbeats(self);
             }
         }
         Ok(())
--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -15,8 +15,8 @@
 impl Gateway {
     /// Returns whether an endpoint is cooling down for this instance.
     pub(crate) fn is_cooling_down(&self, endpoint: &str) -> bool {
-        self.words
-            .rests
+        self.endpoint_signals
+            .cooldowns
             .lock()
             .is_cooling_down(endpoint, self.now())
     }
@@ -25,21 +25,24 @@
     /// already run there. Returns whether it may be sent; it must then be sent at once.
     pub(crate) fn try_admit_exempt(&self, endpoint: &str) -> bool {
         let now = self.now();
-        self.words.rests.lock().try_admit_exempt(endpoint, now)
+        self.endpoint_signals
+            .cooldowns
+            .lock()
+            .try_admit_exempt(endpoint, now)
     }
 
     /// Returns the endpoints that get no new requests from here for now: those that are cooling
     /// down, and those for which no permit is available.
     pub(super) fn unavailable_endpoints(&self) -> BTreeSet<String> {
         let mut unavailable = self.cooling_down_endpoints();
-        unavailable.extend(self.words.permits.closed());
+        unavailable.extend(self.endpoint_signals.permits.denied_endpoints());
         unavailable
     }
 
     /// Returns the endpoints that are cooling down.
     pub(crate) fn cooling_down_endpoints(&self) -> BTreeSet<String> {
         let now = self.now();
-        let rests = self.words.rests.lock();
+        let rests = self.endpoint_signals.cooldowns.lock();
         rests.cooling_down(now).map(str::to_owned).collect()
     }
 }
@@ -76,8 +79,12 @@
         return ServiceAvailability::Unavailable { until };
     }
     let unavailable_until = ready.iter().map(|endpoint| {
-        let cooldown_until = gateway.words.rests.lock().ends_at(endpoint, now);
-        cooldown_until.max(gateway.words.permits.none_before(endpoint))
+        let cooldown_until = gateway
+            .endpoint_signals
+            .cooldowns
+            .lock()
+            .ends_at(endpoint, now);
+        cooldown_until.max(gateway.endpoint_signals.permits.denied_until(endpoint))
     });
     ServiceAvailability::for_request(unavailable_until, wait_until)
 }
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -32,7 +32,7 @@
     };
     let cold = cold_start_shares(call, &candidates, now);
     {
-        let gate = gateway.cold_gate.lock();
+        let gate = gateway.cold_rate_limiter.lock();
         candidates.retain(|entry| {
             let share = cold.get(&entry.id);
             share.is_none_or(|share| gate.can_send(&entry.id, *share, now))
@@ -40,7 +40,10 @@
     }
     let selected = draw_weighted(call, candidates, initial_response_time, now)?;
     if cold.contains_key(&selected.id) {
-        gateway.cold_gate.lock().record_sent(&selected.id, now);
+        gateway
+            .cold_rate_limiter
+            .lock()
+            .record_sent(&selected.id, now);
     }
     Some(selected)
 }
@@ -88,7 +91,9 @@
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway.pace(&call.service, initial_response_time).overdue();
+        let late_after = gateway
+            .response_time(&call.service, initial_response_time)
+            .overdue();
         let health = gateway.health.lock();
         let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
         candidates.iter().map(weight).collect()
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -43,7 +43,9 @@
         report.born_ms.is_none() || engine.born_ms.is_none() || report.born_ms == engine.born_ms
     });
     if of_this_start.is_some_and(|report| report.leaving) {
-        gateway.words.told_leaving(&engine.id, "report");
+        gateway
+            .endpoint_signals
+            .record_draining(&engine.id, "report");
     }
 }
 
@@ -70,7 +72,7 @@
 async fn report(gateway: &Gateway, engine: &EndpointEntry) -> Result<EngineReport, String> {
     let request = engine::report_request(engine.address).map_err(|error| error.to_string())?;
     metrics::counter!("larkwick_engine_reports_total").increment(1);
-    let permit = gateway.permit(&engine.service, &engine.id).await;
+    let permit = gateway.request_permit(&engine.service, &engine.id).await;
     let permit = permit.ok_or("the engine takes no more for now")?;
     let upstream = &gateway.upstream;
     let asked = upstream.send_control_request(engine, request, REPORT_MAX_BYTES, permit);
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -91,7 +91,7 @@
     loop {
         let waited = gateway.now().saturating_sub(begun);
         let is_listed = !gateway.store.knows_nothing(Subject::Members);
-        let has_met = waited >= MEMBERS_LISTED_WITHIN && gateway.instances_live() >= 2;
+        let has_met = waited >= MEMBERS_LISTED_WITHIN && gateway.live_instance_count() >= 2;
         if is_listed || has_met || waited >= MEMBERS_MET_WITHIN {
             return;
         }
@@ -159,7 +159,7 @@
         }
         take_records(gateway, subject, page.records);
         if subject == Subject::Members {
-            heartbeat::beat_round(gateway);
+            heartbeat::send_heartbeats(gateway);
         }
         return;
     }
@@ -169,7 +169,7 @@
     }
     note_regained(gateway);
     let changes = gateway.fleet.lock().apply_full_list(news, gateway.now());
-    gateway.fleet_read();
+    gateway.mark_fleet_loaded();
     tell_changes(&changes);
 }
 
@@ -177,7 +177,7 @@
 /// a list may be older than what was written.
 fn look_for_own_records(gateway: &Gateway, page: &SitePage) {
     let era = page.next.era();
-    let before = gateway.own_records_era.lock().replace(era);
+    let before = gateway.own_records_checked_era.lock().replace(era);
     if before.is_none_or(|before| before >= era) {
         return;
     }
@@ -188,7 +188,7 @@
         _ => false,
     };
     if !records.iter().any(is_own) {
-        gateway.entry_lost.notify_one();
+        gateway.own_entry_lost.notify_one();
     }
     let kept = records.iter().filter_map(|record| match record {
         SiteRecord::Suspect(kept) => Some(kept.content()),
@@ -248,12 +248,12 @@
 
 fn take_other(gateway: &Gateway, record: SiteRecord) {
     match record {
-        SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
+        SiteRecord::Configuration(config) => gateway.apply_config(config, "store"),
         SiteRecord::Member(entry) => take_member(gateway, entry),
         SiteRecord::Suspect(kept) => gateway.merge_stored_suspect(&kept),
         SiteRecord::SuspectGone(content) => gateway.suspects.lock().mark_not_stored(content),
-        SiteRecord::HallOrder(order) => gateway.order_hall(&order),
-        SiteRecord::EvacuatedHalls(told) => gateway.take_halls(&told, "store"),
+        SiteRecord::HallOrder(order) => gateway.apply_hall_order(&order),
+        SiteRecord::EvacuatedHalls(told) => gateway.merge_evacuated_halls(&told, "store"),
         SiteRecord::Unreadable { key, why } => {
             tell_unreadable("record not read; what was known stays", &key, &why);
         }
@@ -291,7 +291,7 @@
         .members
         .lock()
         .apply_list(&[ListedPeer { status }], own_name, now);
-    gateway.take_member_entry(entry);
+    gateway.record_member_entry(entry);
 }
 
 /// Logs what changed in the fleet.
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -50,7 +50,7 @@
 
 /// Answers a call for a generation.
 pub(crate) async fn answer(call: Call) -> Response<ResponseBody> {
-    call.gateway.count_first_send(&call.service);
+    call.gateway.record_first_attempt(&call.service);
     let call = Arc::new(call);
     match start(&call).await {
         Ok(started) => relay::answer(call, started),
@@ -195,7 +195,7 @@
                 break;
             }
         }
-        if offers.sends > 0 && !gateway.take_retry(&call.service) {
+        if offers.sends > 0 && !gateway.try_spend_retry(&call.service) {
             reason.push_str("; retry budget spent");
             break;
         }
@@ -297,7 +297,10 @@
 /// How long room is waited for: as long as the first event can still come within the goal; a generation that has begun, until it can just
 /// be served.
 fn wait_for_room(call: &Call, offers: &Offers) -> Duration {
-    let usual = call.gateway.pace(&call.service, FIRST_EVENT).typical();
+    let usual = call
+        .gateway
+        .response_time(&call.service, FIRST_EVENT)
+        .typical();
     let until = if offers.runs > 0 {
         call.time_left()
     } else {
@@ -336,7 +339,7 @@
     let left = call.time_left();
     let another = call.route.resumable && offers.runs + 1 < call.route.attempts_max;
     if another {
-        let pace = call.gateway.pace(&call.service, FIRST_EVENT);
+        let pace = call.gateway.response_time(&call.service, FIRST_EVENT);
         left.saturating_sub(pace.typical())
     } else {
         left
@@ -434,8 +437,8 @@
         dead: matches!(none, ConnectError::Refused(_)),
     })?;
     let permit = match counted_at {
-        Some(_) => Some(gateway.permit_of_place(granted, counted_at)),
-        None => gateway.permit(&call.service, granted).await,
+        Some(_) => Some(gateway.permit_for_placement(granted, counted_at)),
+        None => gateway.request_permit(&call.service, granted).await,
     };
     let permit = permit.ok_or(NotStarted::Limited)?;
     may_still_be_sent(call, &endpoint, restricted)?;
@@ -500,7 +503,7 @@
         return Err(NotStarted::Answered(Box::new(begun)));
     }
     let took = gateway.now().saturating_sub(sent_at);
-    gateway.note_pace(&call.service, FIRST_EVENT, took);
+    gateway.record_response_time(&call.service, FIRST_EVENT, took);
     Ok(begun)
 }
 
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between instances: who lives, who has a newer configuration, which halls are evacuated, and which endpoints say that they leave.
+//! Heartbeats between instances. They carry member states, configuration versions, evacuated halls,
+//! crash suspects, draining endpoints and rate limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,41 +15,42 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-/// Peers stand within milliseconds; a slow one gets this long.
+/// Timeout for a heartbeat. Peers are normally reachable within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A connection to a peer that was not used for this long is closed: with 295 members, memory at its peak was 31.6 MB an instance while all
-/// connections were kept.
-const CONNECTIONS_SWEPT_EVERY: Duration = Duration::from_secs(5);
+/// Connections to peers that were not used for this long are closed. With 295 members, memory peaked
+/// at 31.6 MB per instance while all connections were kept open.
+const CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Heartbeats begin their news of endpoints anywhere among so many, so that each is told where there are more than one heartbeat holds; far above the
-/// endpoints of a site.
-const NEWS_SPREAD: usize = 1 << 20;
+/// Upper bound of the random offset at which a heartbeat starts its list of endpoint updates. The
+/// offset ensures that every update is sent when there are more than fit into one heartbeat. The
+/// bound is far above the number of endpoints of a site.
+const UPDATE_OFFSETS: usize = 1 << 20;
 
-/// Heartbeats go out of turn no more often than this, whatever there is to tell: half of the usual time between them.
-const SOON_EVERY: Duration = Duration::from_millis(250);
+/// Minimum interval between heartbeats sent ahead of schedule: half of the regular interval.
+const EARLY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Departures are passed on for this long.
-const DEPARTURES_PASSED_ON: Duration = Duration::from_secs(15);
+/// How long departures of instances are included in heartbeats.
+const DEPARTURE_GOSSIP_PERIOD: Duration = Duration::from_secs(15);
 
-/// What this instance tells a peer, by name.
-pub(crate) fn own_beat(gateway: &Gateway, to: &str) -> wire::Beat {
-    told_to(gateway, to, told_to_all(gateway))
+/// Builds the heartbeat for a peer, given by name.
+pub(crate) fn heartbeat_for(gateway: &Gateway, to: &str) -> wire::Beat {
+    with_gossip_for(gateway, to, shared_heartbeat(gateway))
 }
 
-/// What this instance tells all peers alike.
-fn told_to_all(gateway: &Gateway) -> wire::Beat {
+/// Builds the part of a heartbeat that is the same for all peers.
+fn shared_heartbeat(gateway: &Gateway) -> wire::Beat {
     let departures = {
         let members = gateway.members.lock();
-        let since = gateway.now().saturating_sub(DEPARTURES_PASSED_ON);
+        let since = gateway.now().saturating_sub(DEPARTURE_GOSSIP_PERIOD);
         let recent = members.departures.recorded_since(since);
         recent.map(wire::Incarnation::from).collect()
     };
-    let first = rand::random_range(0..NEWS_SPREAD);
+    let first = rand::random_range(0..UPDATE_OFFSETS);
     let (evacuated, leaving_endpoints) = {
         let fleet = gateway.fleet.lock();
-        let leaving = fleet.drain_notices(first, gateway.now());
-        (fleet.evacuated_halls().into(), leaving)
+        let draining = fleet.drain_notices(first, gateway.now());
+        (fleet.evacuated_halls().into(), draining)
     };
     wire::Beat {
         status: Some((&gateway.status()).into()),
@@ -57,12 +59,12 @@
         evacuated: Some(evacuated),
         suspects: gateway.suspect_updates(),
         leaving_endpoints,
-        limits: gateway.limit_news(first),
+        limits: gateway.limit_updates(first),
     }
 }
 
-/// Adds what goes to one peer only.
-fn told_to(gateway: &Gateway, to: &str, all: wire::Beat) -> wire::Beat {
+/// Adds the gossip for one peer to a heartbeat.
+fn with_gossip_for(gateway: &Gateway, to: &str, all: wire::Beat) -> wire::Beat {
     let gossip = {
         let mut members = gateway.members.lock();
         members.gossip_for(&gateway.incarnation, MEMBER_RING, to, gateway.now())
@@ -73,15 +75,21 @@
     }
 }
 
-/// Takes what a peer tells; gives its name.
-pub(crate) fn take_beat(gateway: &Arc<Gateway>, beat: wire::Beat) -> Result<String, BadField> {
+/// Applies the heartbeat of a peer; returns its name.
+///
+/// # Errors
+/// A field is missing or malformed.
+pub(crate) fn receive_heartbeat(
+    gateway: &Arc<Gateway>,
+    beat: wire::Beat,
+) -> Result<String, BadField> {
     let status: PeerStatus = beat.status.ok_or(BadField("status"))?.try_into()?;
     let gossip: Gossip = beat.gossip.unwrap_or_default().into();
-    if let Some(told) = beat.evacuated {
-        gateway.take_halls(&told.into(), "member");
+    if let Some(evacuated) = beat.evacuated {
+        gateway.merge_evacuated_halls(&evacuated.into(), "member");
     }
-    gateway.take_leaving_endpoints(&beat.leaving_endpoints);
-    gateway.take_limits(beat.limits);
+    gateway.apply_drain_notices(&beat.leaving_endpoints);
+    gateway.apply_limit_updates(beat.limits);
     gateway.merge_suspects(beat.suspects)?;
     let departed: Result<Vec<Incarnation>, BadField> = beat
         .departures
@@ -93,21 +101,21 @@
     let address = status.peer_address.clone();
     let name = status.incarnation.name.clone();
     let now = gateway.now();
-    let (was_live, lives, has_departed) = {
+    let (was_live, is_live, has_departed) = {
         let mut members = gateway.members.lock();
         let was_live = members.is_live(&name, MEMBER_RING, now);
         members.receive_heartbeat(&gateway.incarnation, status, &gossip, now);
         let mut has_departed = false;
-        for gone in &departed {
-            has_departed |= members.departures.record(gone, now);
+        for incarnation in &departed {
+            has_departed |= members.departures.record(incarnation, now);
         }
-        let lives = members.is_live(&name, MEMBER_RING, now);
-        (was_live, lives, has_departed)
+        let is_live = members.is_live(&name, MEMBER_RING, now);
+        (was_live, is_live, has_departed)
     };
-    if was_live != lives || has_departed {
-        gateway.live.note_changed();
+    if was_live != is_live || has_departed {
+        gateway.live.invalidate();
     }
-    if !was_live && lives {
+    if !was_live && is_live {
         info!("member lives", kv: { member = name.as_str() });
     }
     if peer_version > gateway.config_version() {
@@ -116,78 +124,81 @@
     Ok(name)
 }
 
-async fn beat(gateway: Arc<Gateway>, address: String, own: wire::Beat) {
+async fn send_heartbeat(gateway: Arc<Gateway>, address: String, own: wire::Beat) {
     let Ok(mut client) = gateway.peers.site_at(&address) else {
         return;
     };
-    // A peer that does not answer shows by its silence.
+    // A failed call needs no handling: the failure detector notices the missing heartbeats.
     if let Ok(reply) = within(CALL_TIMEOUT, client.heartbeat(own)).await
-        && let Err(bad) = take_beat(&gateway, reply)
+        && let Err(error) = receive_heartbeat(&gateway, reply)
     {
-        warn!("heartbeat not read: {}", bad);
+        warn!("invalid heartbeat reply: {}", error);
     }
 }
 
-/// A peer to tell in one round.
-struct Told {
-    /// Empty where only its address is known.
+/// A peer that receives a heartbeat in the current round.
+struct HeartbeatTarget {
+    /// Empty if only the address is known, as for seeds.
     name: String,
     address: String,
 }
 
-/// Peers to tell in one round; the seeds where no peer is known yet.
-fn told(gateway: &Gateway) -> Vec<Told> {
+/// Returns the peers to send heartbeats to in this round, or the seeds if no peer is known yet.
+fn heartbeat_targets(gateway: &Gateway) -> Vec<HeartbeatTarget> {
     let now = gateway.now();
     let mut members = gateway.members.lock();
     if members.all().next().is_none() {
         let routing = gateway.routing.read();
         let seeds = routing.seed_addresses.iter();
         let others = seeds.filter(|seed| **seed != gateway.settings.peer_address);
-        let told = others.map(|seed| Told {
+        let targets = others.map(|seed| HeartbeatTarget {
             name: String::new(),
             address: seed.to_string(),
         });
-        return told.collect();
+        return targets.collect();
     }
     let names = members.heartbeat_targets(&gateway.incarnation, MEMBER_RING, now);
-    let told = names.into_iter().filter_map(|name| {
+    let targets = names.into_iter().filter_map(|name| {
         let address = members.get(&name)?.status.peer_address.clone();
-        Some(Told { name, address })
+        Some(HeartbeatTarget { name, address })
     });
-    told.collect()
+    targets.collect()
 }
 
-/// Sends heartbeats now.
-pub(crate) fn beat_round(gateway: &Arc<Gateway>) {
-    let all = told_to_all(gateway);
-    for peer in told(gateway) {
-        let own = told_to(gateway, &peer.name, all.clone());
-        tokio::spawn(beat(gateway.clone(), peer.address, own));
+/// Starts sending one round of heartbeats, without waiting for the replies.
+pub(crate) fn send_heartbeats(gateway: &Arc<Gateway>) {
+    let all = shared_heartbeat(gateway);
+    for peer in heartbeat_targets(gateway) {
+        let own = with_gossip_for(gateway, &peer.name, all.clone());
+        tokio::spawn(send_heartbeat(gateway.clone(), peer.address, own));
     }
 }
 
-/// Sends heartbeats out of turn, for news that cannot wait, unless some went out a moment ago; gives when they may go out where it is later.
-pub(crate) fn beat_soon(gateway: &Arc<Gateway>) -> Option<Duration> {
+/// Sends heartbeats ahead of schedule for urgent updates.
+///
+/// If the last ones were sent less than [`EARLY_HEARTBEAT_INTERVAL`] ago, sends nothing and returns
+/// the time at which the caller may try again.
+pub(crate) fn try_send_early_heartbeats(gateway: &Arc<Gateway>) -> Option<Duration> {
     let now = gateway.now();
     {
-        let mut beaten_at = gateway.beaten_soon_at.lock();
-        let due_at = beaten_at.map(|at| at + SOON_EVERY);
+        let mut sent_at = gateway.early_heartbeats_sent_at.lock();
+        let due_at = sent_at.map(|at| at + EARLY_HEARTBEAT_INTERVAL);
         if let Some(due_at) = due_at.filter(|due_at| now < *due_at) {
             return Some(due_at);
         }
-        *beaten_at = Some(now);
+        *sent_at = Some(now);
     }
-    beat_round(gateway);
+    send_heartbeats(gateway);
     None
 }
 
-/// Sends heartbeats for the life of the instance.
+/// Sends heartbeats periodically for the lifetime of the instance.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     let every = ms(gateway.settings.times.heartbeat_ms);
     let mut swept_at = gateway.now();
     loop {
-        beat_round(&gateway);
-        if gateway.now().saturating_sub(swept_at) >= CONNECTIONS_SWEPT_EVERY {
+        send_heartbeats(&gateway);
+        if gateway.now().saturating_sub(swept_at) >= CONNECTION_SWEEP_INTERVAL {
             gateway.peers.drop_unused();
             swept_at = gateway.now();
         }
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 
 use super::message_heads::CallHead;
-use super::node::{Counted, Gateway};
+use super::node::{Gateway, InFlightGuard};
 use crate::kernel::fingerprint::{FingerprintHead, HeadHash, RequestFingerprint};
 use crate::kernel::route::{Route, RouteTable};
 
@@ -33,7 +33,7 @@
     /// not hashed.
     pub(crate) fingerprint: OnceLock<RequestFingerprint>,
     /// Delays the shutdown of the instance until the call ends.
-    pub(crate) _counted: Counted,
+    pub(crate) _counted: InFlightGuard,
 }
 
 impl Call {
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -1,4 +1,6 @@
-//! Connections of callers and of the platform's questions: hyper, since rocket hides the connection.
+//! HTTP listeners for callers, readiness checks and the directory.
+//!
+//! They use hyper directly, because rocket gives no access to the connection.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,45 +22,49 @@
 use crate::kernel::route::CallLimits;
 use crate::platform::{directory, ingress, names};
 
-/// Open connections of callers; most of an instance's descriptors, the rest is for endpoints and peers.
+/// Maximum number of open connections. This is most of an instance's file descriptors; the rest is
+/// for endpoints and peers.
 const CONNECTIONS_MAX: usize = 2_600;
-/// After a failure to accept, most likely for want of descriptors.
+/// Pause after a failure to accept, most likely because no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Read buffer of a connection; larger than any head that the limits allow.
-const BUFFER_MAX_BYTES: usize = 64 << 10;
+/// Maximum size of a connection's read buffer; larger than any request head that the limits allow.
+const READ_BUFFER_MAX_BYTES: usize = 64 << 10;
 
-/// What a listener serves.
+/// The kind of requests that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Surface {
-    /// Calls.
+pub(crate) enum ListenerKind {
+    /// Calls to services.
     Callers,
-    /// Whether this instance takes callers.
+    /// Readiness checks.
     Ready,
-    /// Where to connect.
+    /// Directory queries for the addresses of instances.
     Directory,
 }
 
-/// Accepts connections for the life of the instance.
-pub(crate) async fn run(gateway: Arc<Gateway>, listener: TcpListener, surface: Surface) {
+/// Accepts connections for the lifetime of the instance.
+pub(crate) async fn run(gateway: Arc<Gateway>, listener: TcpListener, kind: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) if gateway.in_flight.connections() >= CONNECTIONS_MAX => {
-                warn!("connection refused: {} are open", CONNECTIONS_MAX);
+                warn!(
+                    "connection refused: limit of {} open connections reached",
+                    CONNECTIONS_MAX
+                );
                 drop(stream);
             }
             Ok((stream, _)) => {
-                tokio::spawn(serve(gateway.clone(), stream, surface));
+                tokio::spawn(serve(gateway.clone(), stream, kind));
             }
             Err(error) => {
-                warn!("connection not accepted", kv: { why: = error });
+                warn!("failed to accept connection", kv: { why: = error });
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve(gateway: Arc<Gateway>, stream: TcpStream, surface: Surface) {
-    let _open = gateway.begin_connection();
+async fn serve(gateway: Arc<Gateway>, stream: TcpStream, kind: ListenerKind) {
+    let _guard = gateway.track_connection();
     if let Err(error) = enable_dead_peer_detection(&stream) {
         debug!("connection closed before its first request", kv: { why: = error });
         return;
@@ -66,45 +72,45 @@
     let limits = gateway
         .table()
         .map_or_else(CallLimits::default, |table| table.config().limits);
-    let mut stage = gateway.in_flight.watch_stage();
-    let service = service_fn(|request| answer(gateway.clone(), request, surface));
-    // Who comes after a request to stop gets one answer.
-    let stopping = gateway.in_flight.stage() == Stage::Leaving;
+    let mut stage = gateway.in_flight.subscribe_stage();
+    let service = service_fn(|request| handle_request(gateway.clone(), request, kind));
+    // Connections opened during shutdown get a single response.
+    let is_leaving = gateway.in_flight.stage() == Stage::Leaving;
     let connection = http1::Builder::new()
-        .keep_alive(!stopping)
+        .keep_alive(!is_leaving)
         .timer(TokioTimer::new())
-        // Also ends connections at rest, so it is the longer of the two times.
+        // This timeout also closes idle connections, hence the longer of the two.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
-        .max_buf_size(BUFFER_MAX_BYTES)
+        .max_buf_size(READ_BUFFER_MAX_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = left(&mut stage), if !stopping => {
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
+        () = wait_until_leaving(&mut stage), if !is_leaving => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        debug!("caller's connection ended", kv: { why: = error });
+    if let Err(error) = result {
+        debug!("caller connection failed", kv: { why: = error });
     }
 }
 
-/// Ends when the instance was asked to stop.
-async fn left(stage: &mut tokio::sync::watch::Receiver<Stage>) {
-    // The sender lives as long as the instance.
+/// Waits until the instance is leaving.
+async fn wait_until_leaving(stage: &mut tokio::sync::watch::Receiver<Stage>) {
+    // Cannot fail: the sender exists as long as the instance.
     let _ = stage.wait_for(|stage| *stage == Stage::Leaving).await;
 }
 
-async fn answer(
+async fn handle_request(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-    surface: Surface,
+    kind: ListenerKind,
 ) -> Result<Response<ResponseBody>, Infallible> {
-    Ok(match surface {
-        Surface::Callers => request_handler::handle(gateway, request).await,
-        Surface::Ready => ready(&gateway, &request),
-        Surface::Directory => addresses(&gateway, &request),
+    Ok(match kind {
+        ListenerKind::Callers => request_handler::handle(gateway, request).await,
+        ListenerKind::Ready => ready(&gateway, &request),
+        ListenerKind::Directory => resolve(&gateway, &request),
     })
 }
 
@@ -125,7 +131,7 @@
     })
 }
 
-fn addresses(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
+fn resolve(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET || request.uri().path() != names::RESOLVE_PATH {
         return status_only(StatusCode::NOT_FOUND);
     }
--- a/src/gateway/live_members.rs
+++ b/src/gateway/live_members.rs
@@ -1,4 +1,4 @@
-//! The view of the members that live, kept until it changes.
+//! Cached view of the live members.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,34 +14,36 @@
 use crate::kernel::live_view::{LiveMember, LiveView};
 use crate::kernel::membership::Members;
 
-/// How long a view is believed without a look at the members: little beside the 2.5 s after which a silent member counts as gone.
-const VIEW_KEPT: Duration = Duration::from_millis(200);
-/// What a member carries whose entry was not read yet, in cores: little, so that roles fall to others.
+/// Maximum age of the cached view; short compared with the 2.5 s after which a member without
+/// heartbeats counts as gone.
+const VIEW_MAX_AGE: Duration = Duration::from_millis(200);
+/// Capacity assumed for a member whose entry was not read yet, in processor cores. It is small so
+/// that roles are assigned to other members.
 const UNKNOWN_CORES: f64 = 0.01;
 
-/// Names of members in one line of the log.
-const NAMES_TOLD: usize = 32;
+/// Maximum number of member names in one log line.
+const LOGGED_NAMES_MAX: usize = 32;
 
-/// The view in use, and when the members were last looked at for it.
-struct Current {
+/// The cached view and when it was last compared with the members.
+struct CachedView {
     view: Arc<LiveView>,
-    looked_at: Option<Duration>,
+    refreshed_at: Option<Duration>,
 }
 
-/// The members that live, this instance included.
+/// The live members, including this instance.
 pub(crate) struct LiveMembers {
     own_name: String,
     own_peer_address: String,
     members: Arc<Mutex<Members>>,
     entries: Arc<Mutex<HashMap<String, MemberEntry>>>,
     clock: Arc<dyn Clock>,
-    current: Mutex<Current>,
-    /// Whether something changed since the members were last looked at.
+    current: Mutex<CachedView>,
+    /// Whether something may have changed since the last refresh.
     changed: AtomicBool,
 }
 
 impl LiveMembers {
-    /// Follows the members of an instance.
+    /// Creates the view for an instance, initially without other members.
     pub(crate) fn new(
         own_name: &str,
         own_peer_address: String,
@@ -50,9 +52,9 @@
         clock: Arc<dyn Clock>,
     ) -> Self {
         let view = Arc::new(LiveView::new(own_name, Vec::new()));
-        let current = Current {
+        let current = CachedView {
             view,
-            looked_at: None,
+            refreshed_at: None,
         };
         Self {
             own_name: own_name.to_owned(),
@@ -65,33 +67,38 @@
         }
     }
 
-    /// A member was heard or listed anew, or is leaving: the next view is made from a fresh look.
-    pub(crate) fn note_changed(&self) {
+    /// Forces a refresh of the view at its next use, after a change of a member or its entry.
+    pub(crate) fn invalidate(&self) {
         self.changed.store(true, Ordering::Relaxed);
     }
 
-    /// The view as of now. The same one for as long as the same members live.
+    /// Returns the current view. It is the same object for as long as the live members are the same.
     pub(crate) fn view(&self) -> Arc<LiveView> {
         let now = self.clock.now();
         let mut current = self.current.lock();
-        let age = current.looked_at.map(|at| now.saturating_sub(at));
-        let is_fresh = age.is_some_and(|age| age < VIEW_KEPT);
-        let has_changed = self.changed.swap(false, Ordering::Relaxed);
-        if is_fresh && !has_changed {
+        let age = current.refreshed_at.map(|at| now.saturating_sub(at));
+        let is_fresh = age.is_some_and(|age| age < VIEW_MAX_AGE);
+        let is_invalidated = self.changed.swap(false, Ordering::Relaxed);
+        if is_fresh && !is_invalidated {
             return current.view.clone();
         }
-        current.looked_at = Some(now);
-        if !self.still_holds(&current.view, now) {
-            let view = Arc::new(LiveView::new(&self.own_name, self.look(now)));
-            tell_change(&current.view, &view);
+        current.refreshed_at = Some(now);
+        if !self.is_current(&current.view, now) {
+            let view = Arc::new(LiveView::new(
+                &self.own_name,
+                self.collect_live_members(now),
+            ));
+            log_membership_change(&current.view, &view);
             current.view = view;
         }
         current.view.clone()
     }
 
-    /// Whether the same members live as in a view. Compared in place: copying 295 names several times a second was most of what an idle
-    /// instance allocated.
-    fn still_holds(&self, view: &LiveView, now: Duration) -> bool {
+    /// Returns whether a view still matches the live members.
+    ///
+    /// Compares in place: copying 295 names several times per second caused most of the allocations of
+    /// an idle instance.
+    fn is_current(&self, view: &LiveView, now: Duration) -> bool {
         let members = self.members.lock();
         let entries = self.entries.lock();
         let cores = |name: &str| {
@@ -116,7 +123,7 @@
         same && others.next().is_none() && view.get(&self.own_name).is_some_and(same_cores)
     }
 
-    fn look(&self, now: Duration) -> Vec<LiveMember> {
+    fn collect_live_members(&self, now: Duration) -> Vec<LiveMember> {
         let mut live: Vec<LiveMember> = {
             let members = self.members.lock();
             let live = members.live(MEMBER_RING, now);
@@ -142,21 +149,22 @@
     }
 }
 
-/// Logs which members came and went: with the lines of all instances it shows who held which member for live, and for how long.
-fn tell_change(before: &LiveView, after: &LiveView) {
+/// Logs which members were added and removed. The lines of all instances together show which instance
+/// considered which member live, and for how long.
+fn log_membership_change(before: &LiveView, after: &LiveView) {
     if !crate::log::admits("members live") {
         return;
     }
-    let came = names_missing(after, before);
-    let went = names_missing(before, after);
+    let added = names_not_in(after, before);
+    let removed = names_not_in(before, after);
     let members = after.members().len();
-    info!("members live", kv: { members:, came = came.as_str(), went = went.as_str() });
+    info!("members live", kv: { members:, came = added.as_str(), went = removed.as_str() });
 }
 
-/// The first few names in one view that are not in the other.
-fn names_missing(view: &LiveView, other: &LiveView) -> String {
+/// Returns up to [`LOGGED_NAMES_MAX`] names that are in `view` but not in `other`.
+fn names_not_in(view: &LiveView, other: &LiveView) -> String {
     let names = view.members().iter().map(|member| member.name.as_str());
     let missing = names.filter(|name| other.get(name).is_none());
-    let few: Vec<&str> = missing.take(NAMES_TOLD).collect();
-    few.join(" ")
+    let names: Vec<&str> = missing.take(LOGGED_NAMES_MAX).collect();
+    names.join(" ")
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,15 +3,15 @@
 //! | file | subject |
 //! |---|---|
 //! | `app` | starts an instance and stops it as planned |
-//! | `node` | the state of an instance, in shards |
+//! | `node` | shared state of an instance, in shards with a lock each |
 //! | `site_store` | the platform's store, as a trait with plug-ins |
 //! | `shared_store`, `subject_cache` | the store, read directly or through other instances |
 //! | `follow` | keeps configuration, endpoints and members in step with the store |
-//! | `heartbeat` | which members live |
-//! | `live_members` | the view of the members that live, kept until it changes |
+//! | `heartbeat` | heartbeats and gossip between members |
+//! | `live_members` | cached view of the live members |
 //! | `listener` | connections of callers |
 //! | `inbound_call`, `message_heads`, `response_body` | a call in flight, heads of requests and responses, and the response body |
-//! | `halls` | halls that the operator empties |
+//! | `hall_evacuation` | evacuation of halls, by order of the operator or as received from members |
 //! | `aborted_requests` | requests that their endpoint aborted, and probes of that endpoint |
 //! | `crash_suspects` | requests that crash endpoints, and whether a request may be sent |
 //! | `held_calls` | calls held until the instance is ready |
@@ -20,12 +20,12 @@
 //! | `generation`, `started`, `relay` | generations: placed, then passed on event by event, also when they move |
 //! | `takeover` | generations whose connection to their engine has gone silent |
 //! | `upstream` | connection pools of the endpoints |
-//! | `endpoint_words` | what endpoints say of themselves in any answer |
+//! | `endpoint_signals` | handles the signals in the response headers of endpoints |
 //! | `endpoint_cooldowns` | effect of endpoint cooldowns on calls |
-//! | `permits` | requests to endpoints that name a limit: who gives the permits for them |
+//! | `permits` | rate-limit permits for endpoints that announce a limit |
 //! | `runs`, `moves` | the generations served here, and how they move to another engine |
 //! | `suspend_aware_waits` | waits that respect deadlines also after a suspension of the machine |
-//! | `tally` | counts of what grows with the site |
+//! | `work_counters` | counters of the work that grows with the size of the site |
 //! | `engine_reports` | asks engines whether they leave while the list is silent |
 //! | `ownership` | who owns a service's engines |
 //! | `ledgers`, `coordinator` | places and moves, by the owner or alone |
@@ -34,15 +34,16 @@
 pub(crate) mod aborted_requests;
 pub mod app;
 pub(crate) mod catch_up;
+pub mod chunked_pages;
 pub(crate) mod coordinator;
 pub(crate) mod crash_suspects;
 pub(crate) mod endpoint_cooldowns;
 pub(crate) mod endpoint_selection;
-pub(crate) mod endpoint_words;
+pub(crate) mod endpoint_signals;
 pub(crate) mod engine_reports;
 pub(crate) mod follow;
 pub(crate) mod generation;
-pub(crate) mod halls;
+pub(crate) mod hall_evacuation;
 pub(crate) mod heartbeat;
 pub(crate) mod held_calls;
 pub(crate) mod inbound_call;
@@ -52,9 +53,8 @@
 pub mod message_heads;
 pub(crate) mod moves;
 pub(crate) mod node;
-pub(crate) mod operators;
+pub(crate) mod operator_api;
 pub(crate) mod ownership;
-pub mod parts;
 pub(crate) mod peers;
 pub(crate) mod permits;
 pub(crate) mod plain_call;
@@ -69,5 +69,5 @@
 pub(crate) mod subject_cache;
 pub(crate) mod suspend_aware_waits;
 pub(crate) mod takeover;
-pub(crate) mod tally;
 pub(crate) mod upstream;
+pub(crate) mod work_counters;
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -123,7 +123,7 @@
     let request = engine::move_request(source.address, &run.demand.run, target.address, stop)
         .map_err(|error| error.to_string())?;
     let called = async {
-        let permit = gateway.permit_soon(&source.service, &source.id).await;
+        let permit = gateway.wait_for_permit(&source.service, &source.id).await;
         let permit = permit.ok_or("the engine takes no more for now")?;
         let upstream = &gateway.upstream;
         let asked = upstream.send_control_request(source, request, ANSWER_MAX_BYTES, permit);
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -1,7 +1,9 @@
-//! The state of an instance that serves routes, in shards each under its own lock.
+//! Shared state of an instance that serves routes, split into shards with a lock each.
 //!
-//! No lock is held across an await. Several are held at once in these orders only: a service's ledger, then the table or the fleet; the
-//! view of the live members, then the members, then their entries; the members or their entries, then the routing settings.
+//! No lock is held across an await. Nested locks are acquired in these orders only:
+//! - the ledger of a service, then the route table or the fleet;
+//! - the view of the live members, then the members, then their entries;
+//! - the members or their entries, then the routing settings.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,7 +19,7 @@
 use uuid::Uuid;
 
 use super::aborted_requests::PresenceProbes;
-use super::endpoint_words::EndpointWords;
+use super::endpoint_signals::EndpointSignalHandler;
 use super::held_calls::HeldCalls;
 use super::ledgers::Ledgers;
 use super::live_members::LiveMembers;
@@ -25,8 +27,8 @@
 use super::shared_store::SharedStore;
 use super::site_store::{MemberEntry, SiteStore, Subject};
 use super::suspend_aware_waits::Suspensions;
-use super::tally::Tally;
 use super::upstream::{Upstream, connections_per_instance};
+use super::work_counters::WorkCounters;
 use crate::error::{Error, ErrorKind};
 use crate::kernel::clock::Clock;
 use crate::kernel::cold_start::ColdRateLimiter;
@@ -43,36 +45,37 @@
 use crate::settings::Settings;
 use crate::settings::routing::RoutingSettings;
 
-/// All members of a site watch each other on one ring, whatever hall they stand in: callers of any hall may use any of them.
+/// Name of the ring on which members monitor each other. There is one for the whole site, because
+/// callers in any hall may use the members in every hall.
 pub(crate) const MEMBER_RING: &str = "site";
 
-/// How far an instance is.
+/// Lifecycle stage of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Stage {
-    /// Takes callers once it knows configuration and endpoints.
+    /// Accepts callers once the configuration and the endpoints are known.
     Serving,
-    /// Asked to stop: not named to callers any more, answers whoever still comes.
+    /// Shutting down: removed from the directory, but still answers incoming calls.
     Leaving,
 }
 
-/// Calls and connections in flight.
+/// Numbers of calls and connections in flight, and the lifecycle stage.
 pub(crate) struct InFlight {
     calls: AtomicUsize,
     connections: AtomicUsize,
     stage: watch::Sender<Stage>,
 }
 
-/// Counts something in flight for as long as it lives.
-pub(crate) struct Counted {
+/// Guard that counts a call or connection as in flight until it is dropped.
+pub(crate) struct InFlightGuard {
     gateway: Arc<Gateway>,
-    what: fn(&InFlight) -> &AtomicUsize,
+    counter: fn(&InFlight) -> &AtomicUsize,
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let counter = (self.what)(&self.gateway.in_flight);
-        counter.fetch_sub(1, Ordering::Relaxed);
+        let count = (self.counter)(&self.gateway.in_flight);
+        count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -85,37 +88,36 @@
         }
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub(crate) fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Open connections of callers.
+    /// Returns the number of open caller connections.
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// The stage.
     pub(crate) fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Follows the stage.
-    pub(crate) fn watch_stage(&self) -> watch::Receiver<Stage> {
+    /// Subscribes to changes of the stage.
+    pub(crate) fn subscribe_stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// The instance was asked to stop; there is no way back.
-    pub(crate) fn leave(&self) {
+    /// Marks the instance as leaving. This cannot be undone.
+    pub(crate) fn mark_leaving(&self) {
         self.stage.send_replace(Stage::Leaving);
     }
 }
 
-/// The repeats of one service that this instance may make.
-struct ServiceRepeats {
+/// Budget for retries to one service from this instance.
+struct ServiceRetryBudget {
     budget: RetryBudget,
-    /// Whether it has what is allowed on top.
-    is_filled: bool,
+    /// Whether the slack on top of the retry share was added.
+    has_slack: bool,
 }
 
 /// An instance that serves routes.
@@ -127,55 +129,55 @@
     pub(crate) store: SharedStore,
     table: RwLock<Option<Arc<RouteTable>>>,
     pub(crate) fleet: Arc<Mutex<Fleet>>,
-    /// What endpoints say of themselves.
-    pub(crate) words: Arc<EndpointWords>,
-    /// Whether the list of endpoints was read once.
-    fleet_known: std::sync::atomic::AtomicBool,
+    /// Handles the signals in the response headers of endpoints.
+    pub(crate) endpoint_signals: Arc<EndpointSignalHandler>,
+    /// Whether the list of endpoints was read at least once.
+    is_fleet_loaded: std::sync::atomic::AtomicBool,
     pub(crate) members: Arc<Mutex<Members>>,
-    /// The members that share the site's allowances.
-    sharers: Mutex<InstanceCounter>,
-    /// When heartbeats last went to members out of turn.
-    pub(crate) beaten_soon_at: Mutex<Option<Duration>>,
-    /// The members that live, with what they can carry.
+    /// Counts the instances that share site-wide limits.
+    instance_counter: Mutex<InstanceCounter>,
+    /// When heartbeats were last sent ahead of schedule.
+    pub(crate) early_heartbeats_sent_at: Mutex<Option<Duration>>,
+    /// The live members with their capacity.
     pub(crate) live: Arc<LiveMembers>,
     pub(crate) member_entries: Arc<Mutex<HashMap<String, MemberEntry>>>,
-    /// Era of the store in which it was last looked whether it holds what this instance wrote.
-    pub(crate) own_records_era: Mutex<Option<u64>>,
-    /// Wakes the task that writes this instance's own entry.
-    pub(crate) entry_lost: Notify,
+    /// Era of the store for which the records of this instance were last verified.
+    pub(crate) own_records_checked_era: Mutex<Option<u64>>,
+    /// Wakes the task that writes this instance's own member entry.
+    pub(crate) own_entry_lost: Notify,
     pub(crate) health: Mutex<EndpointHealth>,
-    /// What plain calls from here have sent to cold endpoints of late.
-    pub(crate) cold_gate: Mutex<ColdRateLimiter>,
-    /// By service.
-    retries: Mutex<HashMap<String, ServiceRepeats>>,
+    /// Limits the rate of plain calls from this instance to endpoints in cold start.
+    pub(crate) cold_rate_limiter: Mutex<ColdRateLimiter>,
+    /// Retry budgets by service.
+    retry_budgets: Mutex<HashMap<String, ServiceRetryBudget>>,
     started_at: Duration,
-    /// How long the services take to answer, by name.
-    paces: Mutex<HashMap<String, ResponseTimeEstimate>>,
+    /// Response-time estimates by service.
+    response_times: Mutex<HashMap<String, ResponseTimeEstimate>>,
     pub(crate) upstream: Upstream,
     pub(crate) suspensions: Suspensions,
-    /// Contents that endpoints ended under.
+    /// Request fingerprints suspected of crashing endpoints.
     pub(crate) suspects: Mutex<CrashSuspects>,
-    /// Wakes the task that has them kept by the store.
+    /// Wakes the task that persists crash suspects in the store.
     pub(crate) suspects_changed: Notify,
-    /// Endpoints that broke off answers of late.
-    pub(crate) looks: PresenceProbes,
+    /// Probes of endpoints that recently aborted responses.
+    pub(crate) presence_probes: PresenceProbes,
     pub(crate) runs: RunRegistry,
     pub(crate) ledgers: Ledgers,
     pub(crate) peers: Arc<PeerClients>,
-    /// Whether a configuration is being taken from a peer.
+    /// Ensures that only one task fetches a configuration from a peer.
     pub(crate) catch_up: ExclusiveTask,
     pub(crate) in_flight: InFlight,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) work_counters: Arc<WorkCounters>,
     pub(crate) held: HeldCalls,
-    /// When this instance ends at the latest; set when it is asked to stop.
+    /// Latest time at which this instance exits; set when shutdown is requested.
     pub(crate) ends_at: Mutex<Option<Duration>>,
 }
 
-/// Least weight of a member's address among those named to callers, in cores.
+/// Minimum weight of a member's address in the directory, in processor cores.
 const ADDRESS_WEIGHT_MIN: f64 = 0.1;
 
 impl Gateway {
-    /// An instance that has heard of nothing yet.
+    /// Creates an instance without configuration, endpoints or members.
     pub(crate) fn new(
         settings: Settings,
         routing: RoutingSettings,
@@ -199,7 +201,7 @@
             entries,
             clock.clone(),
         ));
-        let tally: Arc<Tally> = Arc::default();
+        let work_counters: Arc<WorkCounters> = Arc::default();
         let store = SharedStore::new(
             own_name,
             store,
@@ -207,20 +209,20 @@
             peers.clone(),
             live.clone(),
             routing.freshness(),
-            tally.clone(),
+            work_counters.clone(),
         );
         let ledgers = Ledgers::of_instance(&settings.instance);
         let fleet: Arc<Mutex<Fleet>> = Arc::default();
-        let words = Arc::new(EndpointWords::new(clock.clone(), fleet.clone()));
+        let endpoint_signals = Arc::new(EndpointSignalHandler::new(clock.clone(), fleet.clone()));
         Self {
-            upstream: Upstream::new(clock.clone(), words.clone()),
+            upstream: Upstream::new(clock.clone(), endpoint_signals.clone()),
             suspensions: Suspensions::default(),
             suspects: Mutex::default(),
             suspects_changed: Notify::new(),
-            beaten_soon_at: Mutex::default(),
-            entry_lost: Notify::new(),
-            own_records_era: Mutex::default(),
-            looks: PresenceProbes::default(),
+            early_heartbeats_sent_at: Mutex::default(),
+            own_entry_lost: Notify::new(),
+            own_records_checked_era: Mutex::default(),
+            presence_probes: PresenceProbes::default(),
             routing: RwLock::new(routing),
             settings,
             started_at: clock.now(),
@@ -229,39 +231,39 @@
             store,
             table: RwLock::default(),
             fleet,
-            words,
-            fleet_known: std::sync::atomic::AtomicBool::new(false),
+            endpoint_signals,
+            is_fleet_loaded: std::sync::atomic::AtomicBool::new(false),
             members,
-            sharers: Mutex::default(),
+            instance_counter: Mutex::default(),
             live,
             member_entries,
             health: Mutex::default(),
-            cold_gate: Mutex::default(),
-            retries: Mutex::default(),
-            paces: Mutex::default(),
+            cold_rate_limiter: Mutex::default(),
+            retry_budgets: Mutex::default(),
+            response_times: Mutex::default(),
             runs: RunRegistry::default(),
             ledgers,
             peers,
             catch_up: ExclusiveTask::default(),
             in_flight: InFlight::new(),
-            tally,
+            work_counters,
             held: HeldCalls::default(),
             ends_at: Mutex::default(),
         }
     }
 
-    /// Time on this instance's clock.
+    /// Returns the current time on this instance's clock.
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// The configuration in force here, once one is known.
+    /// Returns the active configuration, or `None` if none is known yet.
     pub(crate) fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.read().clone()
     }
 
-    /// Puts a configuration in force, unless one as new is in force already.
-    fn put_in_force(&self, newer: RouteTable) -> bool {
+    /// Activates a configuration if it is newer than the active one; returns whether it did.
+    fn install_table(&self, newer: RouteTable) -> bool {
         let mut table = self.table.write();
         let known = table.as_ref().map(|table| table.version());
         if known.is_some_and(|known| known >= newer.version()) {
@@ -271,81 +273,81 @@
         true
     }
 
-    /// Puts a configuration in force, unless it is older than the one known.
-    pub(crate) fn take_config(&self, config: RouteConfig, source: &str) {
+    /// Activates a configuration if it is newer than the active one, and releases held calls.
+    pub(crate) fn apply_config(&self, config: RouteConfig, source: &str) {
         let version = config.version;
         let before = self.config_version();
-        if self.put_in_force(RouteTable::new(config)) {
+        if self.install_table(RouteTable::new(config)) {
             info!("configuration in force", kv: { version:, before:, source });
-            self.release_held();
+            self.release_held_calls();
         }
     }
 
-    /// Version of the configuration in force; 0 where none is known.
+    /// Returns the version of the active configuration, or 0 if none is known.
     pub(crate) fn config_version(&self) -> u64 {
         let table = self.table.read();
         table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether callers may be routed to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         self.in_flight.stage() == Stage::Serving && self.can_serve()
     }
 
-    /// Whether configuration and endpoints are known.
+    /// Returns whether the configuration and the endpoints are known.
     pub(crate) fn can_serve(&self) -> bool {
-        self.table.read().is_some() && self.fleet_known.load(Ordering::Relaxed)
+        self.table.read().is_some() && self.is_fleet_loaded.load(Ordering::Relaxed)
     }
 
-    /// The list of endpoints was read.
-    pub(crate) fn fleet_read(&self) {
-        self.fleet_known.store(true, Ordering::Relaxed);
-        self.release_held();
+    /// Records that the list of endpoints was read.
+    pub(crate) fn mark_fleet_loaded(&self) {
+        self.is_fleet_loaded.store(true, Ordering::Relaxed);
+        self.release_held_calls();
     }
 
-    fn release_held(&self) {
+    fn release_held_calls(&self) {
         if self.can_serve() {
             self.held.release();
         }
     }
 
-    /// Time until this instance ends, where it was asked to stop.
+    /// Returns the time until this instance exits, or `None` if no shutdown was requested.
     pub(crate) fn time_until_stop(&self) -> Option<Duration> {
         let ends_at = *self.ends_at.lock();
         Some(ends_at?.saturating_sub(self.now()))
     }
 
-    /// Counts a call as in flight.
-    pub(crate) fn begin_call(self: &Arc<Self>) -> Counted {
-        self.count(|in_flight| &in_flight.calls)
+    /// Counts a call as in flight until the guard is dropped.
+    pub(crate) fn track_call(self: &Arc<Self>) -> InFlightGuard {
+        self.track(|in_flight| &in_flight.calls)
     }
 
-    /// Counts a caller's connection as open.
-    pub(crate) fn begin_connection(self: &Arc<Self>) -> Counted {
-        self.count(|in_flight| &in_flight.connections)
+    /// Counts a caller's connection as open until the guard is dropped.
+    pub(crate) fn track_connection(self: &Arc<Self>) -> InFlightGuard {
+        self.track(|in_flight| &in_flight.connections)
     }
 
-    fn count(self: &Arc<Self>, what: fn(&InFlight) -> &AtomicUsize) -> Counted {
-        what(&self.in_flight).fetch_add(1, Ordering::Relaxed);
-        Counted {
+    fn track(self: &Arc<Self>, counter: fn(&InFlight) -> &AtomicUsize) -> InFlightGuard {
+        counter(&self.in_flight).fetch_add(1, Ordering::Relaxed);
+        InFlightGuard {
             gateway: self.clone(),
-            what,
+            counter,
         }
     }
 
-    /// Instances that are there, as far as is known, this one included.
-    pub(crate) fn instances(&self) -> usize {
+    /// Returns the number of instances that were reachable recently, including this one.
+    pub(crate) fn reachable_instance_count(&self) -> usize {
         1 + self.members.lock().recently_reachable(self.now()).count()
     }
 
-    /// Instances that share what is allowed to all of them together, this one included.
-    pub(crate) fn instances_sharing(&self) -> usize {
-        let sharers = self.sharers.lock().count();
-        sharers.max(self.instances())
+    /// Returns the number of instances that share site-wide limits, including this one.
+    pub(crate) fn sharing_instance_count(&self) -> usize {
+        let sharing = self.instance_counter.lock().count();
+        sharing.max(self.reachable_instance_count())
     }
 
-    /// Looks which members share the site's allowances.
-    pub(crate) fn look_at_sharers(&self) {
+    /// Updates the count of the instances that share site-wide limits.
+    pub(crate) fn observe_sharing_instances(&self) {
         let now = self.now();
         let members: Vec<(String, bool)> = {
             let members = self.members.lock();
@@ -355,47 +357,52 @@
             });
             named.collect()
         };
-        let members = members.iter().map(|(name, lives)| (name.as_str(), *lives));
-        self.sharers.lock().observe(members, now);
+        let members = members
+            .iter()
+            .map(|(name, is_live)| (name.as_str(), *is_live));
+        self.instance_counter.lock().observe(members, now);
     }
 
-    /// Instances that live, this one included.
-    pub(crate) fn instances_live(&self) -> usize {
+    /// Returns the number of live instances, including this one.
+    pub(crate) fn live_instance_count(&self) -> usize {
         let members = self.members.lock();
         1 + members.live(MEMBER_RING, self.now()).count()
     }
 
-    /// Takes a member's own entry.
-    pub(crate) fn take_member_entry(&self, entry: MemberEntry) {
+    /// Records the entry that a member wrote about itself.
+    pub(crate) fn record_member_entry(&self, entry: MemberEntry) {
         self.member_entries.lock().insert(entry.name.clone(), entry);
-        self.live.note_changed();
+        self.live.invalidate();
     }
 
-    /// Connections that this instance may hold to an endpoint of a service.
+    /// Returns how many connections this instance may open to an endpoint of a service.
     pub(crate) fn connections_max(&self, table: &RouteTable, service: &str) -> usize {
         let allowed = table
             .service(service)
             .map_or(u32::MAX, |service| service.connections_max);
-        connections_per_instance(allowed, self.instances())
+        connections_per_instance(allowed, self.reachable_instance_count())
     }
 
-    /// Counts a first send to a service.
-    pub(crate) fn count_first_send(&self, service: &str) {
-        self.with_budget(service, RetryBudget::record_first_attempt);
+    /// Records a first attempt to a service, which adds to its retry budget.
+    pub(crate) fn record_first_attempt(&self, service: &str) {
+        self.with_retry_budget(service, RetryBudget::record_first_attempt);
     }
 
-    /// Takes a repeat from the budget of a service.
-    pub(crate) fn take_retry(&self, service: &str) -> bool {
-        // Who does not know the members does not know its part.
-        let knows_members = !self.store.knows_nothing(Subject::Members);
-        let taken = knows_members && self.with_budget(service, RetryBudget::try_spend);
-        metrics::counter!("larkwick_retries_total", "allowed" => taken.to_string()).increment(1);
-        taken
+    /// Spends a retry from the budget of a service; returns `false` if it is exhausted.
+    pub(crate) fn try_spend_retry(&self, service: &str) -> bool {
+        // An instance that does not know the members cannot compute its share of the budget.
+        let has_members = !self.store.knows_nothing(Subject::Members);
+        let allowed = has_members && self.with_retry_budget(service, RetryBudget::try_spend);
+        metrics::counter!("larkwick_retries_total", "allowed" => allowed.to_string()).increment(1);
+        allowed
     }
 
-    /// The part of what is allowed to all instances together follows their number: counted once, at the first call, parts added up to several wholes.
-    fn with_budget<T>(&self, service: &str, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let instances = self.instances_sharing();
+    /// Runs `change` on the retry budget of a service.
+    ///
+    /// The share of this instance is recomputed on each call, since the number of instances changes:
+    /// with shares fixed at the first call, their sum was several times the site-wide allowance.
+    fn with_retry_budget<T>(&self, service: &str, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
+        let instances = self.sharing_instance_count();
         let (allowance, window) = {
             let routing = self.routing.read();
             let allowance = RetryAllowance {
@@ -404,45 +411,45 @@
             };
             (allowance, routing.retry_window())
         };
-        let part = allowance.instance_budget(instances);
-        let is_young = self.now().saturating_sub(self.started_at) < window;
-        let mut retries = self.retries.lock();
-        let repeats = retries.entry(service.to_owned());
-        let repeats = repeats.or_insert_with(|| ServiceRepeats {
-            budget: part.without_slack(),
-            is_filled: false,
+        let share = allowance.instance_budget(instances);
+        let is_warming_up = self.now().saturating_sub(self.started_at) < window;
+        let mut budgets = self.retry_budgets.lock();
+        let budget = budgets.entry(service.to_owned());
+        let budget = budget.or_insert_with(|| ServiceRetryBudget {
+            budget: share.without_slack(),
+            has_slack: false,
         });
-        repeats.budget.adjust_to(part);
-        if !repeats.is_filled && !is_young {
-            repeats.budget.fill_up();
-            repeats.is_filled = true;
+        budget.budget.adjust_to(share);
+        if !budget.has_slack && !is_warming_up {
+            budget.budget.fill_up();
+            budget.has_slack = true;
         }
-        change(&mut repeats.budget)
+        change(&mut budget.budget)
     }
 
-    /// How fast a service answers, as far as is known.
-    pub(crate) fn pace(
+    /// Returns the response-time estimate of a service, or `initial` if there is none.
+    pub(crate) fn response_time(
         &self,
         service: &str,
-        before_any: ResponseTimeEstimate,
+        initial: ResponseTimeEstimate,
     ) -> ResponseTimeEstimate {
-        let paces = self.paces.lock();
-        paces.get(service).copied().unwrap_or(before_any)
+        let estimates = self.response_times.lock();
+        estimates.get(service).copied().unwrap_or(initial)
     }
 
-    /// A service answered within this time.
-    pub(crate) fn note_pace(
+    /// Records the response time of a service.
+    pub(crate) fn record_response_time(
         &self,
         service: &str,
-        before_any: ResponseTimeEstimate,
+        initial: ResponseTimeEstimate,
         took: Duration,
     ) {
-        let mut paces = self.paces.lock();
-        let pace = paces.entry(service.to_owned()).or_insert(before_any);
-        pace.record(took);
+        let mut estimates = self.response_times.lock();
+        let estimate = estimates.entry(service.to_owned()).or_insert(initial);
+        estimate.record(took);
     }
 
-    /// What this instance says about itself.
+    /// Returns the status of this instance that is sent to peers.
     pub(crate) fn status(&self) -> PeerStatus {
         PeerStatus {
             incarnation: self.incarnation.clone(),
@@ -456,7 +463,7 @@
         }
     }
 
-    /// What this instance writes to the store about itself.
+    /// Returns the member entry that this instance writes to the store.
     pub(crate) fn member_entry(&self) -> MemberEntry {
         let routing = self.routing.read();
         MemberEntry {
@@ -470,8 +477,10 @@
         }
     }
 
-    /// Addresses for callers: those of the members that live, the larger ones more often where not all can be named.
-    pub(crate) fn caller_addresses(&self, most: usize) -> Vec<SocketAddr> {
+    /// Returns the caller addresses of up to `max` live members.
+    ///
+    /// If there are more, a random sample is drawn, weighted by processor cores.
+    pub(crate) fn caller_addresses(&self, max: usize) -> Vec<SocketAddr> {
         let own = self.is_ready().then_some(self.settings.caller_address);
         let live: Vec<(String, SocketAddr)> = {
             let members = self.members.lock();
@@ -492,14 +501,14 @@
                 .chain(own.map(|address| (own_cores, address)))
                 .collect()
         };
-        if weighted.len() > most {
-            weighted = sample_by_weight(weighted, most);
+        if weighted.len() > max {
+            weighted = sample_by_weight(weighted, max);
         }
         weighted.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// The error for a call that no endpoint can take now.
-    pub(crate) fn no_endpoint(service: &str) -> Error {
+    /// Returns the error for a call that no endpoint can accept now.
+    pub(crate) fn no_endpoint_error(service: &str) -> Error {
         Error::new(
             ErrorKind::NoEndpoint,
             format!("no endpoint of service {service} takes work; come back later"),
@@ -507,13 +516,13 @@
     }
 }
 
-/// Where peers connect.
+/// Returns the address under which peers reach this instance.
 fn peer_address(settings: &Settings, routing: &RoutingSettings) -> SocketAddr {
     routing.peer_address_told.unwrap_or(settings.peer_address)
 }
 
-/// Draws so many, each in proportion to its weight.
-fn sample_by_weight(weighted: Vec<(f64, SocketAddr)>, most: usize) -> Vec<(f64, SocketAddr)> {
+/// Draws a random sample without replacement; a higher weight is more likely to be drawn.
+fn sample_by_weight(weighted: Vec<(f64, SocketAddr)>, max: usize) -> Vec<(f64, SocketAddr)> {
     let mut drawn: Vec<(f64, (f64, SocketAddr))> = weighted
         .into_iter()
         .map(|one| {
@@ -523,6 +532,6 @@
         })
         .collect();
     drawn.sort_by(|one, other| other.0.total_cmp(&one.0));
-    drawn.truncate(most);
+    drawn.truncate(max);
     drawn.into_iter().map(|(_, one)| one).collect()
 }
--- a/src/gateway/operators.rs
+++ b/src/gateway/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators see of an instance that serves routes: its state and its metrics.
+//! HTTP routes for operators: state, metrics and crash suspects of an instance.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,23 +18,23 @@
 use crate::kernel::fleet::{Availability, EndpointEntry};
 use crate::kernel::membership::PeerStatus;
 
-/// Adds the operators' routes.
+/// Mounts the routes for operators.
 pub(crate) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
-    rocket.mount("/", routes![state, metrics, suspects, let_go])
+    rocket.mount("/", routes![state, metrics, suspects, release_suspect])
 }
 
 #[derive(Serialize)]
-struct Dump {
+struct StateDump {
     instance: String,
     incarnation: String,
     hall: String,
     stage: Stage,
     ready: bool,
     config_version: u64,
-    /// How often the store has come back from an older copy, as it counts.
+    /// Era of the store: the number of times it was restored from an older copy, as it counts them.
     store_era: u64,
     calls: usize,
-    /// Calls that wait until this instance can serve.
+    /// Calls held until this instance is ready.
     calls_held: usize,
     calls_held_so_far: u64,
     connections: usize,
@@ -53,17 +53,21 @@
 #[derive(Serialize)]
 struct EndpointDump {
     entry: EndpointEntry,
-    standing: Availability,
-    failures_share: f64,
+    #[serde(rename = "standing")]
+    availability: Availability,
+    #[serde(rename = "failures_share")]
+    failure_rate: f64,
     calls_in_flight: u32,
-    /// Time for which it goes on to rest, as it asked this instance; 0 where it does not.
-    rests_ms: u64,
-    /// Requests a second that it takes from all instances together, as it names it in answers; nothing where it names none.
+    /// Remaining cooldown that the endpoint requested from this instance; 0 if there is none.
+    #[serde(rename = "rests_ms")]
+    cooldown_ms: u64,
+    /// Limit on the sum of requests per second from all instances that the endpoint announces in
+    /// responses, if any.
     limit_per_s: Option<f64>,
 }
 
 #[get("/debug/state")]
-fn state(gateway: &State<Arc<Gateway>>) -> Json<Dump> {
+fn state(gateway: &State<Arc<Gateway>>) -> Json<StateDump> {
     let now = gateway.now();
     let members = {
         let members = gateway.members.lock();
@@ -76,24 +80,24 @@
     let fleet: Vec<(EndpointEntry, Availability)> = {
         let fleet = gateway.fleet.lock();
         let all = fleet.all_endpoints();
-        all.map(|(entry, standing)| (entry.clone(), standing))
+        all.map(|(entry, availability)| (entry.clone(), availability))
             .collect()
     };
     let endpoints = {
         let health = gateway.health.lock();
-        let rests = gateway.words.rests.lock();
-        let dumped = fleet.into_iter().map(|(entry, standing)| {
-            let failures_share = health.failure_rate(&entry.id, now);
+        let cooldowns = gateway.endpoint_signals.cooldowns.lock();
+        let dumped = fleet.into_iter().map(|(entry, availability)| {
+            let failure_rate = health.failure_rate(&entry.id, now);
             let calls_in_flight = health.in_flight(&entry.id);
-            let rests_until = rests.ends_at(&entry.id, now).unwrap_or_default();
-            let limit_per_s = gateway.words.permits.limit_per_s(&entry.id);
+            let cooldown_ends_at = cooldowns.ends_at(&entry.id, now).unwrap_or_default();
+            let limit_per_s = gateway.endpoint_signals.permits.limit_per_s(&entry.id);
             let id = entry.id.clone();
             let dump = EndpointDump {
                 entry,
-                standing,
-                failures_share,
+                availability,
+                failure_rate,
                 calls_in_flight,
-                rests_ms: millis(rests_until.saturating_sub(now)),
+                cooldown_ms: millis(cooldown_ends_at.saturating_sub(now)),
                 limit_per_s,
             };
             (id, dump)
@@ -101,7 +105,7 @@
         dumped.collect()
     };
     let (calls_held, calls_held_so_far) = gateway.held.counts();
-    Json(Dump {
+    Json(StateDump {
         instance: gateway.incarnation.name.clone(),
         incarnation: gateway.incarnation.id.to_string(),
         hall: gateway.settings.hall.clone(),
@@ -125,35 +129,38 @@
     handle.render()
 }
 
-/// A content that endpoints ended under.
+/// A request fingerprint suspected of crashing endpoints.
 #[derive(Serialize)]
 struct SuspectDump {
-    content: RequestFingerprint,
+    #[serde(rename = "content")]
+    fingerprint: RequestFingerprint,
     verdict: Verdict,
-    /// Whether an endpoint has finished it.
+    /// Whether an endpoint has completed a request with this fingerprint.
     innocent: bool,
-    /// Endpoints that ended under it.
-    ends: usize,
-    last_end_ms_ago: u64,
+    /// Number of endpoints that crashed under it.
+    #[serde(rename = "ends")]
+    crashes: usize,
+    #[serde(rename = "last_end_ms_ago")]
+    last_crash_age_ms: u64,
 }
 
 #[get("/suspects")]
 fn suspects(gateway: &State<Arc<Gateway>>) -> Json<Vec<SuspectDump>> {
     let now = gateway.now();
     let suspects = gateway.suspects.lock();
-    let dumped = suspects.reports(now).map(|told| SuspectDump {
-        content: told.fingerprint,
-        verdict: suspects.verdict(told.fingerprint, now),
-        innocent: told.innocent,
-        ends: told.crashes.len(),
-        last_end_ms_ago: millis(told.last_crash_age),
+    let dumped = suspects.reports(now).map(|report| SuspectDump {
+        fingerprint: report.fingerprint,
+        verdict: suspects.verdict(report.fingerprint, now),
+        innocent: report.innocent,
+        crashes: report.crashes.len(),
+        last_crash_age_ms: millis(report.last_crash_age),
     });
     Json(dumped.collect())
 }
 
-/// Lets a content go: at all instances it is counted from nothing.
+/// Releases a crash suspect: all instances reset their evidence against it.
 #[post("/suspects/<content>/let-go")]
-fn let_go(gateway: &State<Arc<Gateway>>, content: &str) -> Status {
+fn release_suspect(gateway: &State<Arc<Gateway>>, content: &str) -> Status {
     let Ok(content) = content.parse() else {
         return Status::BadRequest;
     };
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What other instances may ask of this one.
+//! The gRPC service that an instance offers to other instances.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use futures::Stream;
 use tonic::{Request, Response, Status};
 
+use super::chunked_pages::EncodedPage;
 use super::node::Gateway;
-use super::parts::EncodedPage;
 use super::runs::NotTaken;
-use super::tally::Work;
+use super::work_counters::WorkKind;
 use super::{catch_up, coordinator, heartbeat, moves};
 use crate::kernel::clock::millis;
 use crate::kernel::engine_ledger::ReportedRun;
@@ -20,33 +20,33 @@
 use crate::peer::generated::site_server::Site;
 use crate::settings::ms;
 
-/// The peers' side of an instance.
+/// Implementation of the `Site` service.
 pub(crate) struct SiteService {
     gateway: Arc<Gateway>,
 }
 
 impl SiteService {
-    /// Serves for an instance.
+    /// Creates the service for an instance.
     pub(crate) fn new(gateway: Arc<Gateway>) -> Self {
         Self { gateway }
     }
 }
 
-type PartStream = Pin<Box<dyn Stream<Item = Result<wire::SitePart, Status>> + Send>>;
+type ChunkStream = Pin<Box<dyn Stream<Item = Result<wire::SitePart, Status>> + Send>>;
 
-/// A page as a stream of parts, the head with the first one.
-fn in_parts(head: wire::PageHead, page: &EncodedPage) -> PartStream {
+/// Returns a page as a stream of chunks; the first one carries the head.
+fn chunk_stream(head: wire::PageHead, page: &EncodedPage) -> ChunkStream {
     let mut head = Some(wire::PageHead {
         compressed: page.compressed,
         ..head
     });
-    let parts = page.parts().map(move |bytes| {
+    let chunks = page.chunks().map(move |bytes| {
         Ok(wire::SitePart {
             head: head.take(),
             bytes: bytes.into(),
         })
     });
-    Box::pin(futures::stream::iter(parts))
+    Box::pin(futures::stream::iter(chunks))
 }
 
 #[tonic::async_trait]
@@ -55,41 +55,47 @@
         &self,
         request: Request<wire::Beat>,
     ) -> Result<Response<wire::Beat>, Status> {
-        self.gateway.tally.count(Work::Heartbeat);
-        let peer = heartbeat::take_beat(&self.gateway, request.into_inner())?;
-        Ok(Response::new(heartbeat::own_beat(&self.gateway, &peer)))
+        self.gateway.work_counters.increment(WorkKind::Heartbeat);
+        let peer = heartbeat::receive_heartbeat(&self.gateway, request.into_inner())?;
+        Ok(Response::new(heartbeat::heartbeat_for(
+            &self.gateway,
+            &peer,
+        )))
     }
 
-    type FetchRoutesStream = PartStream;
+    type FetchRoutesStream = ChunkStream;
 
     async fn fetch_routes(
         &self,
         request: Request<wire::FetchRoutesRequest>,
-    ) -> Result<Response<PartStream>, Status> {
+    ) -> Result<Response<ChunkStream>, Status> {
         let page = catch_up::give(&self.gateway, request.into_inner())?;
-        Ok(Response::new(in_parts(wire::PageHead::default(), &page)))
+        Ok(Response::new(chunk_stream(
+            wire::PageHead::default(),
+            &page,
+        )))
     }
 
-    type ReadSiteStream = PartStream;
+    type ReadSiteStream = ChunkStream;
 
     async fn read_site(
         &self,
         request: Request<wire::ReadSiteRequest>,
-    ) -> Result<Response<PartStream>, Status> {
-        self.gateway.tally.count(Work::PassedOn);
+    ) -> Result<Response<ChunkStream>, Status> {
+        self.gateway.work_counters.increment(WorkKind::RelayedRead);
         let (head, page) = self.gateway.store.pass_on(request.get_ref()).await?;
-        Ok(Response::new(in_parts(head, &page)))
+        Ok(Response::new(chunk_stream(head, &page)))
     }
 
     async fn place(
         &self,
         request: Request<wire::PlaceRequest>,
     ) -> Result<Response<wire::PlaceReply>, Status> {
-        self.gateway.tally.count(Work::Place);
-        let begun = self.gateway.now();
+        self.gateway.work_counters.increment(WorkKind::Place);
+        let started_at = self.gateway.now();
         let request = request.into_inner();
         let demand = request.demand.ok_or(BadField("demand"))?.into();
-        let granted = coordinator::place_here(
+        let placing = coordinator::place_here(
             &self.gateway,
             &request.service,
             &demand,
@@ -97,8 +103,8 @@
             &request.excluded,
             ms(request.wait_ms),
         );
-        let placed = granted.await;
-        let waited = self.gateway.now().saturating_sub(begun);
+        let placed = placing.await;
+        let waited = self.gateway.now().saturating_sub(started_at);
         let counted = placed
             .as_ref()
             .is_some_and(|placed| placed.counted_at.is_some());
@@ -113,7 +119,7 @@
         &self,
         request: Request<wire::RunsReport>,
     ) -> Result<Response<wire::RunsReply>, Status> {
-        self.gateway.tally.count(Work::Report);
+        self.gateway.work_counters.increment(WorkKind::Report);
         let report = request.into_inner();
         let runs: Result<Vec<ReportedRun>, BadField> =
             report.runs.into_iter().map(ReportedRun::try_from).collect();
@@ -135,16 +141,16 @@
         &self,
         request: Request<wire::PermitRequest>,
     ) -> Result<Response<wire::PermitReply>, Status> {
-        self.gateway.tally.count(Work::Permit);
+        self.gateway.work_counters.increment(WorkKind::Permit);
         let request = request.into_inner();
-        let told = LimitUpdate {
+        let update = LimitUpdate {
             endpoint: request.endpoint,
             per_s: Some(request.limit_per_s),
             age: ms(request.named_ms_ago),
         };
         let gateway = &self.gateway;
-        let answer = gateway.give_permit(&request.service, &told, &request.asker);
-        let not_before = match answer {
+        let decision = gateway.issue_permit(&request.service, &update, &request.asker);
+        let not_before = match decision {
             PermitDecision::Granted => None,
             PermitDecision::NotBefore(until) => Some(until.saturating_sub(gateway.now())),
         };
@@ -158,7 +164,7 @@
         &self,
         request: Request<wire::MoveRunRequest>,
     ) -> Result<Response<wire::MoveRunReply>, Status> {
-        self.gateway.tally.count(Work::Move);
+        self.gateway.work_counters.increment(WorkKind::Move);
         let (result, reason) = moves::move_run(&self.gateway, &request.into_inner()).await;
         Ok(Response::new(wire::MoveRunReply {
             result: convert::move_result_number(result),
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -1,7 +1,9 @@
-//! Requests to endpoints that name a limit: each leaves with a permit of the one instance that gives them for its endpoint.
+//! Rate-limit permits for endpoints that announce a limit.
 //!
-//! Who owns a service's engines gives the permits for them, with the places; for a plain endpoint it is the live member with the highest weighted hash
-//! for it. Nothing is asked for where no limit is named.
+//! Each request to such an endpoint needs a permit, issued by one instance per endpoint so that the
+//! sum over all instances stays within the limit. For engines the issuer is the owner of the service,
+//! which grants permits together with placements; for plain endpoints it is the live member with the
+//! highest weighted rendezvous hash. Endpoints without a limit need no permits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,71 +24,88 @@
 use crate::peer::generated as wire;
 use crate::settings::ms;
 
-/// Longest wait for the answer of a giver, which stands within milliseconds.
-const ASK_TIMEOUT: Duration = Duration::from_millis(150);
-/// A giver that did not answer, or that takes another instance for the giver, is asked again after this time.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-/// For so long a permit is waited for that a running generation needs.
-const RUNNING_WAIT_MAX: Duration = Duration::from_millis(600);
+/// Timeout for a request to the issuer, which is normally reachable within milliseconds.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
+/// Pause before the issuer is asked again after it did not answer, or considered another instance to
+/// be the issuer.
+const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum wait for a permit that a running generation needs.
+const RUNNING_PERMIT_WAIT_MAX: Duration = Duration::from_millis(600);
 
-/// What is known of limits, and the permits that this instance gives and has. No other lock is taken while one of its own is held, but for `limits` while
-/// `given` is.
-pub(crate) struct PermitDesk {
+/// Known limits, and the permits that this instance issues and holds.
+///
+/// No other lock is acquired while one of these is held, except for `limits` while `issuer` is held.
+pub(crate) struct EndpointPermits {
     clock: Arc<dyn Clock>,
-    /// What endpoints take from all instances together.
+    /// Limits on the sum of requests from all instances, as announced by endpoints.
     limits: Mutex<EndpointLimits>,
-    /// What is given here for plain endpoints; the ledgers give for engines.
-    given: Mutex<PermitIssuer>,
-    /// What was asked for here.
-    asked: Mutex<RequestedPermits>,
+    /// Issues permits for plain endpoints; those for engines are issued by the ledgers.
+    issuer: Mutex<PermitIssuer>,
+    /// Permits that this instance requested.
+    requested: Mutex<RequestedPermits>,
 }
 
-/// Lets one request leave for an endpoint that names a limit, until it is void. One that is not used is kept for the next request.
+/// Allows one request to an endpoint that announces a limit, until it expires. An unused permit is
+/// kept for the next request when it is dropped.
 pub(crate) struct Permit {
-    desk: Arc<PermitDesk>,
+    permits: Arc<EndpointPermits>,
     endpoint: String,
-    /// Nothing where no limit was named when it was made, or once it is spent.
-    void_at: Option<Duration>,
+    /// `None` if no limit was known when the permit was created, or once it is consumed.
+    expires_at: Option<Duration>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let now = self.desk.clock.now();
-        if let Some(void_at) = self.void_at.filter(|void_at| now < *void_at) {
-            self.desk.asked.lock().keep_unused(&self.endpoint, void_at);
+        let now = self.permits.clock.now();
+        if let Some(expires_at) = self.expires_at.filter(|expires_at| now < *expires_at) {
+            self.permits
+                .requested
+                .lock()
+                .keep_unused(&self.endpoint, expires_at);
         }
     }
 }
 
-impl PermitDesk {
+impl EndpointPermits {
     pub(super) fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
             limits: Mutex::default(),
-            given: Mutex::default(),
-            asked: Mutex::default(),
+            issuer: Mutex::default(),
+            requested: Mutex::default(),
         }
     }
 
-    /// Takes what an answer says to a request that was sent then; gives whether members are to hear of it.
-    pub(super) fn take_word(&self, endpoint: &str, word: LimitSignal, sent_at: Duration) -> bool {
+    /// Records the limit signal in the response to a request sent at `sent_at`; returns whether
+    /// members have to be notified.
+    pub(super) fn record_signal(
+        &self,
+        endpoint: &str,
+        signal: LimitSignal,
+        sent_at: Duration,
+    ) -> bool {
         let now = self.clock.now();
         let change = self
             .limits
             .lock()
-            .record_signal(endpoint, word, sent_at, now);
-        self.tell(endpoint, change, "answer")
+            .record_signal(endpoint, signal, sent_at, now);
+        self.report_change(endpoint, change, "answer")
     }
 
-    /// Takes what a member tells; gives whether other members are to hear of it.
-    pub(super) fn take_news(&self, news: &LimitUpdate) -> bool {
+    /// Applies a limit update from a member; returns whether other members have to be notified.
+    pub(super) fn apply_update(&self, update: &LimitUpdate) -> bool {
         let now = self.clock.now();
-        let change = self.limits.lock().apply_update(news, now);
-        self.tell(&news.endpoint, change, "member")
+        let change = self.limits.lock().apply_update(update, now);
+        self.report_change(&update.endpoint, change, "member")
     }
 
-    /// Tells of a change and from whom it is known; gives whether a limit began or ended.
-    fn tell(&self, endpoint: &str, change: Option<LimitChange>, source: &'static str) -> bool {
+    /// Logs a change of a limit and its source; returns whether a limit began or ended.
+    fn report_change(
+        &self,
+        endpoint: &str,
+        change: Option<LimitChange>,
+        source: &'static str,
+    ) -> bool {
         let Some(change) = change else { return false };
         let (kind, limit_per_s) = match change {
             LimitChange::Began(per_s) => ("began", Some(per_s)),
@@ -94,71 +113,76 @@
             LimitChange::Ended => ("ended", None),
         };
         metrics::counter!("larkwick_endpoint_limits_total", "change" => kind).increment(1);
-        let named = self.limits.lock().len();
+        let count = self.limits.lock().len();
         metrics::gauge!("larkwick_endpoint_limits")
-            .set(f64::from(u32::try_from(named).unwrap_or(u32::MAX)));
+            .set(f64::from(u32::try_from(count).unwrap_or(u32::MAX)));
         if crate::log::admits("endpoint names a limit") {
             info!("endpoint names a limit", kv: { endpoint, change = kind, limit_per_s:?, source });
         }
         !matches!(change, LimitChange::Changed(_))
     }
 
-    /// Limits that began or ended of late.
-    pub(super) fn news(&self, first: usize) -> Vec<LimitUpdate> {
+    /// Returns the limits that began or ended recently, starting at an offset.
+    pub(super) fn recent_updates(&self, first: usize) -> Vec<LimitUpdate> {
         self.limits.lock().recent_updates(first, self.clock.now())
     }
 
-    /// Requests a second that an endpoint takes from all instances together; nothing where it names no limit.
+    /// Returns the limit of an endpoint on the sum of all instances, in requests per second, or `None`
+    /// if it announces none.
     pub(super) fn limit_per_s(&self, endpoint: &str) -> Option<f64> {
         self.limits.lock().per_s(endpoint)
     }
 
-    /// Whether any endpoint names a limit.
-    pub(super) fn names_any(&self) -> bool {
+    /// Returns whether any endpoint announces a limit.
+    pub(super) fn has_limits(&self) -> bool {
         !self.limits.lock().is_empty()
     }
 
-    /// Requests a second, by start of endpoint that names a limit.
+    /// Returns the limits in requests per second, by endpoint incarnation.
     pub(super) fn limits(&self) -> BTreeMap<String, f64> {
         self.limits.lock().announced().collect()
     }
 
-    /// Rises with every change of a limit.
+    /// Returns a version that increases with every change of a limit.
     pub(super) fn limits_version(&self) -> u64 {
         self.limits.lock().version()
     }
 
-    /// Until when no permit is to be had for an endpoint; nothing where one may be, or none is needed.
-    pub(super) fn none_before(&self, endpoint: &str) -> Option<Duration> {
+    /// Returns the time until which permits for an endpoint are denied, or `None` if one may be
+    /// available or none is needed.
+    pub(super) fn denied_until(&self, endpoint: &str) -> Option<Duration> {
         let now = self.clock.now();
-        let until = self.asked.lock().denied_until(endpoint, now)?;
+        let until = self.requested.lock().denied_until(endpoint, now)?;
         self.limit_per_s(endpoint).map(|_| until)
     }
 
-    /// Endpoints for which no permit is to be had now.
-    pub(super) fn closed(&self) -> Vec<String> {
+    /// Returns the endpoints for which permits are currently denied.
+    pub(super) fn denied_endpoints(&self) -> Vec<String> {
         let now = self.clock.now();
-        let asked = self.asked.lock();
-        let closed = asked
+        let requested = self.requested.lock();
+        let denied = requested
             .denied_endpoints(now)
             .map(str::to_owned)
             .collect::<Vec<_>>();
-        drop(asked);
+        drop(requested);
         let limits = self.limits.lock();
-        let still = |endpoint: &String| limits.per_s(endpoint).is_some();
-        closed.into_iter().filter(still).collect()
+        let is_limited = |endpoint: &String| limits.per_s(endpoint).is_some();
+        denied.into_iter().filter(is_limited).collect()
     }
 
-    /// Whether a request may leave for an endpoint now. It is the last look, right before the send: a limit may have been named since the endpoint was
-    /// chosen, and the machine may have stood still.
-    pub(super) fn lets_pass(&self, endpoint: &str, mut permit: Permit) -> bool {
-        // It is spent also where only its giver knows of the limit.
-        let void_at = permit.void_at.take();
+    /// Consumes a permit; returns whether the request may be sent to the endpoint now.
+    ///
+    /// This is checked right before sending, because a limit may have been announced after the endpoint
+    /// was selected, or the machine may have been suspended.
+    pub(super) fn try_consume(&self, endpoint: &str, mut permit: Permit) -> bool {
+        // Consumed even if only the issuer knows of the limit.
+        let expires_at = permit.expires_at.take();
         let Some(limit_per_s) = self.limit_per_s(endpoint) else {
             return true;
         };
         let now = self.clock.now();
-        let is_valid = permit.endpoint == endpoint && void_at.is_some_and(|void_at| now < void_at);
+        let is_valid =
+            permit.endpoint == endpoint && expires_at.is_some_and(|expires_at| now < expires_at);
         if is_valid {
             metrics::counter!("larkwick_sent_to_limited_total").increment(1);
             if crate::log::admits("sent to limited endpoint") {
@@ -168,98 +192,110 @@
         is_valid
     }
 
-    /// Forgets what is over.
-    pub(super) fn tidy(&self, is_known: impl Fn(&str) -> bool) {
+    /// Evicts expired permits, and limits of unknown endpoints.
+    pub(super) fn prune(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
         self.limits.lock().prune(is_known, now);
-        self.asked.lock().prune(now);
+        self.requested.lock().prune(now);
         let limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
-        self.given.lock().prune(limited);
+        self.issuer.lock().prune(limited);
     }
 }
 
-/// A permit of so long ago, or none where none was needed then.
-fn permit(desk: &Arc<PermitDesk>, endpoint: &str, granted_at: Option<Duration>) -> Permit {
+/// Creates a permit granted at the given time, or one without expiry time if no limit was known.
+fn new_permit(
+    permits: &Arc<EndpointPermits>,
+    endpoint: &str,
+    granted_at: Option<Duration>,
+) -> Permit {
     Permit {
-        desk: desk.clone(),
+        permits: permits.clone(),
         endpoint: endpoint.to_owned(),
-        void_at: granted_at.map(|at| at + PERMIT_VALID_FOR),
+        expires_at: granted_at.map(|at| at + PERMIT_VALID_FOR),
     }
 }
 
 impl Gateway {
-    /// The permit that a place at an engine or an order to go on there brought, where it was counted then.
-    pub(super) fn permit_of_place(&self, endpoint: &str, counted_at: Option<Duration>) -> Permit {
-        permit(&self.words.permits, endpoint, counted_at)
+    /// Returns the permit that came with a placement or with an order to resume at an engine;
+    /// `counted_at` is set if it counted towards the limit.
+    pub(super) fn permit_for_placement(
+        &self,
+        endpoint: &str,
+        counted_at: Option<Duration>,
+    ) -> Permit {
+        new_permit(&self.endpoint_signals.permits, endpoint, counted_at)
     }
 
-    /// A permit for one request to an endpoint, asked of the instance that gives them; nothing where none is to be had now.
-    pub(super) async fn permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
-        let desk = &self.words.permits;
-        let asked_at = self.now();
-        let told = desk.limits.lock().update_for(endpoint, asked_at);
-        let Some(told) = told else {
-            return Some(permit(desk, endpoint, None));
+    /// Requests a permit for one request to an endpoint from its issuer; returns `None` if none is
+    /// available now.
+    pub(super) async fn request_permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
+        let permits = &self.endpoint_signals.permits;
+        let requested_at = self.now();
+        let known = permits.limits.lock().update_for(endpoint, requested_at);
+        let Some(known) = known else {
+            return Some(new_permit(permits, endpoint, None));
         };
-        let kept = desk.asked.lock().take_unused(endpoint, asked_at);
-        if let Some(void_at) = kept {
-            let mut kept = permit(desk, endpoint, None);
-            kept.void_at = Some(void_at);
+        let kept = permits.requested.lock().take_unused(endpoint, requested_at);
+        if let Some(expires_at) = kept {
+            let mut kept = new_permit(permits, endpoint, None);
+            kept.expires_at = Some(expires_at);
             return Some(kept);
         }
-        if desk.none_before(endpoint).is_some() {
+        if permits.denied_until(endpoint).is_some() {
             return None;
         }
-        // On the heap: it is rare, and each call in flight would hold room for it.
-        let answer = Box::pin(self.ask_for_permit(service, told)).await;
-        let granted = answer == PermitDecision::Granted;
+        // Boxed because it is rare, and would otherwise enlarge the future of every call in flight.
+        let decision = Box::pin(self.request_from_issuer(service, known)).await;
+        let granted = decision == PermitDecision::Granted;
         metrics::counter!("larkwick_permits_asked_total", "granted" => granted.to_string())
             .increment(1);
-        match answer {
-            PermitDecision::Granted => Some(permit(desk, endpoint, Some(asked_at))),
+        match decision {
+            PermitDecision::Granted => Some(new_permit(permits, endpoint, Some(requested_at))),
             PermitDecision::NotBefore(until) => {
                 let now = self.now();
-                desk.asked.lock().record_denial(endpoint, until, now);
+                permits.requested.lock().record_denial(endpoint, until, now);
                 None
             }
         }
     }
 
-    /// A permit for what runs at an endpoint already, or is to go on there: it is lost without, so that the next one is waited for.
-    pub(super) async fn permit_soon(&self, service: &str, endpoint: &str) -> Option<Permit> {
-        let until = self.now() + RUNNING_WAIT_MAX;
+    /// Waits for a permit, for at most [`RUNNING_PERMIT_WAIT_MAX`].
+    ///
+    /// Used for generations that run at the endpoint or resume there, which are lost without a permit.
+    pub(super) async fn wait_for_permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
+        let until = self.now() + RUNNING_PERMIT_WAIT_MAX;
         loop {
-            let permit = self.permit(service, endpoint).await;
+            let permit = self.request_permit(service, endpoint).await;
             if permit.is_some() {
                 return permit;
             }
-            let next_at = self.words.permits.none_before(endpoint);
-            let next_at = next_at.unwrap_or_else(|| self.now());
-            if next_at >= until {
+            let available_at = self.endpoint_signals.permits.denied_until(endpoint);
+            let available_at = available_at.unwrap_or_else(|| self.now());
+            if available_at >= until {
                 return None;
             }
-            self.sleep_until(next_at).await;
+            self.sleep_until(available_at).await;
         }
     }
 
-    /// Asks the giver for a permit. The time in an answer is on this instance's clock.
-    async fn ask_for_permit(&self, service: &str, told: LimitUpdate) -> PermitDecision {
+    /// Requests a permit from the issuer. The time in the decision is on this instance's clock.
+    async fn request_from_issuer(&self, service: &str, known: LimitUpdate) -> PermitDecision {
         let own_name = &self.incarnation.name;
-        let Some(address) = owner_to_ask(self, &self.giver_key(service, &told.endpoint)) else {
-            return self.give_permit(service, &told, own_name);
+        let Some(address) = owner_to_ask(self, &self.issuer_key(service, &known.endpoint)) else {
+            return self.issue_permit(service, &known, own_name);
         };
         let request = wire::PermitRequest {
             service: service.to_owned(),
-            endpoint: told.endpoint.clone(),
+            endpoint: known.endpoint.clone(),
             asker: own_name.clone(),
-            limit_per_s: told.per_s.unwrap_or_default(),
-            named_ms_ago: millis(told.age),
+            limit_per_s: known.per_s.unwrap_or_default(),
+            named_ms_ago: millis(known.age),
         };
-        let called = match self.peers.site_at(&address) {
-            Ok(mut client) => within(ASK_TIMEOUT, client.permit(request)).await,
+        let reply = match self.peers.site_at(&address) {
+            Ok(mut client) => within(REQUEST_TIMEOUT, client.permit(request)).await,
             Err(status) => Err(status),
         };
-        match called {
+        match reply {
             Ok(reply) if reply.granted => PermitDecision::Granted,
             Ok(reply) => {
                 PermitDecision::NotBefore(self.now().saturating_add(ms(reply.not_before_ms)))
@@ -267,63 +303,63 @@
             Err(status) => {
                 if crate::log::admits("no answer for a permit") {
                     warn!("no answer for a permit", kv: {
-                        endpoint = told.endpoint.as_str(), giver = address.as_str(), why = status.message(),
+                        endpoint = known.endpoint.as_str(), giver = address.as_str(), why = status.message(),
                     });
                 }
-                PermitDecision::NotBefore(self.now() + ASK_AGAIN)
+                PermitDecision::NotBefore(self.now() + REQUEST_RETRY_PAUSE)
             }
         }
     }
 
-    /// Gives a permit to an instance that tells what it knows of the limit.
-    pub(super) fn give_permit(
+    /// Decides on the permit request of an instance, which includes the limit it knows.
+    pub(super) fn issue_permit(
         &self,
         service: &str,
-        told: &LimitUpdate,
-        asker: &str,
+        known: &LimitUpdate,
+        requester: &str,
     ) -> PermitDecision {
-        let desk = &self.words.permits;
-        if desk.take_news(told) {
-            self.words.tell_limits();
+        let permits = &self.endpoint_signals.permits;
+        if permits.apply_update(known) {
+            self.endpoint_signals.notify_limits_changed();
         }
-        let endpoint = &told.endpoint;
+        let endpoint = &known.endpoint;
         let now = self.now();
-        let Some(per_s) = desk.limit_per_s(endpoint) else {
-            // Its end is known here, and on its way to the asker.
+        let Some(per_s) = permits.limit_per_s(endpoint) else {
+            // The limit has ended; the requester will be notified of that.
             return PermitDecision::Granted;
         };
-        let key = self.giver_key(service, endpoint);
+        let key = self.issuer_key(service, endpoint);
         if !acts_as_owner(self, &key) {
-            return PermitDecision::NotBefore(now + ASK_AGAIN);
+            return PermitDecision::NotBefore(now + REQUEST_RETRY_PAUSE);
         }
         let limit = LimitShare {
             per_s,
-            share: self.sum_share(&key),
+            share: self.issuer_share(&key),
         };
         if self.has_engines(service) {
             let ledgers = self.ledgers.shard(service);
             return ledgers
                 .lock()
                 .ledger
-                .request_permit(endpoint, asker, limit, now);
+                .request_permit(endpoint, requester, limit, now);
         }
-        desk.given.lock().request(endpoint, asker, limit, now)
+        permits
+            .issuer
+            .lock()
+            .request(endpoint, requester, limit, now)
     }
 
-    /// What of a bound on all instances this one may use, as the giver for a key, or alone.
-    pub(super) fn sum_share(&self, key: &str) -> IssuerShare {
-        let of = self.instances_sharing();
-        let lending = if self.store.knows_nothing(Subject::Members) {
+    /// Returns the share of a site-wide limit that this instance may use as the issuer for a key.
+    pub(super) fn issuer_share(&self, key: &str) -> IssuerShare {
+        let total = self.sharing_instance_count();
+        let reachable = if self.store.knows_nothing(Subject::Members) {
             0
         } else if owner_address(self, key).is_none() {
-            self.instances_live()
+            self.live_instance_count()
         } else {
             1
         };
-        IssuerShare {
-            reachable: lending,
-            total: of,
-        }
+        IssuerShare { reachable, total }
     }
 
     fn has_engines(&self, service: &str) -> bool {
@@ -332,8 +368,8 @@
         service.is_some_and(|service| service.engine.is_some())
     }
 
-    /// What decides who gives the permits for an endpoint.
-    fn giver_key(&self, service: &str, endpoint: &str) -> String {
+    /// Returns the key whose owner issues the permits for an endpoint.
+    fn issuer_key(&self, service: &str, endpoint: &str) -> String {
         if self.has_engines(service) {
             service.to_owned()
         } else {
@@ -341,33 +377,37 @@
         }
     }
 
-    /// Takes what a member tells of limits.
-    pub(crate) fn take_limits(&self, told: Vec<wire::EndpointLimit>) {
-        let mut is_news = false;
-        for limit in told {
+    /// Applies limit updates from a member.
+    pub(crate) fn apply_limit_updates(&self, updates: Vec<wire::EndpointLimit>) {
+        let mut has_changed = false;
+        for limit in updates {
             let endpoint = self.fleet.lock().id_by_short_name(limit.endpoint);
             let Some(endpoint) = endpoint else { continue };
-            let news = LimitUpdate {
+            let update = LimitUpdate {
                 endpoint,
                 per_s: (!limit.ended).then_some(limit.per_s),
                 age: ms(limit.ms_ago),
             };
-            is_news |= self.words.permits.take_news(&news);
+            has_changed |= self.endpoint_signals.permits.apply_update(&update);
         }
-        if is_news {
-            self.words.tell_limits();
+        if has_changed {
+            self.endpoint_signals.notify_limits_changed();
         }
     }
 
-    /// What members are told of limits.
-    pub(crate) fn limit_news(&self, first: usize) -> Vec<wire::EndpointLimit> {
-        let news = self.words.permits.news(first).into_iter();
-        let told = news.map(|news| wire::EndpointLimit {
-            endpoint: crate::kernel::crash_suspects::short_hash(&news.endpoint),
-            per_s: news.per_s.unwrap_or_default(),
-            ended: news.per_s.is_none(),
-            ms_ago: millis(news.age),
+    /// Returns the limit updates to send to members, starting at an offset.
+    pub(crate) fn limit_updates(&self, first: usize) -> Vec<wire::EndpointLimit> {
+        let updates = self
+            .endpoint_signals
+            .permits
+            .recent_updates(first)
+            .into_iter();
+        let updates = updates.map(|update| wire::EndpointLimit {
+            endpoint: crate::kernel::crash_suspects::short_hash(&update.endpoint),
+            per_s: update.per_s.unwrap_or_default(),
+            ended: update.per_s.is_none(),
+            ms_ago: millis(update.age),
         });
-        told.collect()
+        updates.collect()
     }
 }
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -93,7 +93,7 @@
 /// Handles a call and returns the response for its caller.
 pub(crate) async fn handle_call(call: Call) -> Response<ResponseBody> {
     let mut attempts = Attempts::default();
-    call.gateway.count_first_send(&call.service);
+    call.gateway.record_first_attempt(&call.service);
     let result = run_attempts(&call, &mut attempts).await;
     let took_ms = millis(call.age());
     let (response, outcome) = match result {
@@ -143,7 +143,7 @@
     }
     while let Some((endpoint, permit)) = next_endpoint(call, &attempts.tried).await {
         let is_retry = attempts.sends > 0;
-        if is_retry && !call.gateway.take_retry(&call.service) {
+        if is_retry && !call.gateway.try_spend_retry(&call.service) {
             "retry budget spent".clone_into(&mut attempts.last_reason);
             break;
         }
@@ -221,7 +221,7 @@
         if let Some(chosen) = select_endpoint(call, tried, INITIAL_RESPONSE_TIME) {
             // Without a permit the endpoint counts as unavailable until the next permit can be
             // requested, so it is not selected again before.
-            if let Some(permit) = gateway.permit(&call.service, &chosen.id).await {
+            if let Some(permit) = gateway.request_permit(&call.service, &chosen.id).await {
                 return Some((chosen, permit));
             }
             permit_denials += 1;
@@ -230,7 +230,9 @@
             }
             continue;
         }
-        let typical = gateway.pace(&call.service, INITIAL_RESPONSE_TIME).typical();
+        let typical = gateway
+            .response_time(&call.service, INITIAL_RESPONSE_TIME)
+            .typical();
         let wait_until = (call.arrived + call.route.latency_objective).saturating_sub(typical);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
         match endpoint_cooldowns::cooldown_outlook(call, is_tried, wait_until) {
@@ -264,7 +266,7 @@
     }
     let retry_after = endpoint_cooldowns::retry_after_cooldown(call);
     if attempts.tried.is_empty() && retry_after.is_none() {
-        return Gateway::no_endpoint(&call.service).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
+        return Gateway::no_endpoint_error(&call.service).with_retry_after(NO_ENDPOINT_RETRY_AFTER);
     }
     let reason = if attempts.tried.is_empty() {
         "all endpoints rest, leave or take no more for now"
@@ -379,8 +381,10 @@
     let timeout = attempt_timeout(call, attempts);
     let may_give_up = timeout < call.time_left();
     let idle_connections = connection.service_idle_connections();
-    let overdue_after =
-        gateway.pace(&call.service, INITIAL_RESPONSE_TIME).overdue() * OVERDUE_FACTOR;
+    let overdue_after = gateway
+        .response_time(&call.service, INITIAL_RESPONSE_TIME)
+        .overdue()
+        * OVERDUE_FACTOR;
     let response = Box::pin(async {
         let response = connection.send(request, permit).await?;
         read_response(gateway, &call.head.request_id, response).await
@@ -391,7 +395,7 @@
     let attempt = match response.await {
         Some(Ok(attempt)) => {
             let took = gateway.now().saturating_sub(sent_at);
-            gateway.note_pace(&call.service, INITIAL_RESPONSE_TIME, took);
+            gateway.record_response_time(&call.service, INITIAL_RESPONSE_TIME, took);
             attempt
         }
         Some(Err(SendError::Unsent(reason))) => Attempt::NotRun(reason),
@@ -405,7 +409,7 @@
         }
         None => {
             if may_give_up {
-                gateway.note_pace(
+                gateway.record_response_time(
                     &call.service,
                     INITIAL_RESPONSE_TIME,
                     timeout * TIMEOUT_SAMPLE_FACTOR,
@@ -457,7 +461,9 @@
         && attempts.may_have_run + 1 < call.route.attempts_max
         && endpoint_cooldowns::has_untried_endpoint(call, &attempts.tried);
     if can_retry {
-        let pace = call.gateway.pace(&call.service, INITIAL_RESPONSE_TIME);
+        let pace = call
+            .gateway
+            .response_time(&call.service, INITIAL_RESPONSE_TIME);
         time_left.min(pace.timeout(call.route.latency_objective.saturating_sub(call.age())))
     } else {
         time_left
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -100,7 +100,7 @@
     arrived: Duration,
 ) -> std::result::Result<Call, RefusedCall> {
     let (parts, body) = request.into_parts();
-    let in_flight_guard = gateway.begin_call();
+    let in_flight_guard = gateway.track_call();
     let head = ingress::decode_head(&parts).map_err(|error| RefusedCall {
         request_id: String::new(),
         error,
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -58,7 +58,8 @@
         return REPORT_EVERY;
     }
     let count = |instances: usize| u32::try_from(instances).unwrap_or(u32::MAX);
-    let times = f64::from(count(gateway.instances())) / f64::from(count(REPORT_INSTANCES));
+    let times =
+        f64::from(count(gateway.reachable_instance_count())) / f64::from(count(REPORT_INSTANCES));
     REPORT_EVERY.mul_f64(times.max(1.0)).min(REPORT_EVERY_MAX)
 }
 
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -21,7 +21,7 @@
     KeptSuspect, MemberEntry, SitePage, SiteStore, StoreError, StoreResult, Subject,
 };
 use super::subject_cache::SubjectCache;
-use super::tally::{Tally, Work};
+use super::work_counters::{WorkCounters, WorkKind};
 use crate::kernel::clock::{Clock, millis};
 use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::freshness::Freshness;
@@ -95,7 +95,7 @@
     peers: Arc<PeerClients>,
     live: Arc<LiveMembers>,
     freshness: Freshness,
-    tally: Arc<Tally>,
+    tally: Arc<WorkCounters>,
     /// The latest era of the store that was heard of.
     era: AtomicU64,
     shards: [SubjectShard; 3],
@@ -111,7 +111,7 @@
         peers: Arc<PeerClients>,
         live: Arc<LiveMembers>,
         freshness: Freshness,
-        tally: Arc<Tally>,
+        tally: Arc<WorkCounters>,
     ) -> Self {
         Self {
             direct,
@@ -349,7 +349,7 @@
 
     /// The store itself; each use of it is a call.
     fn direct(&self) -> &dyn SiteStore {
-        self.tally.count(Work::StoreCall);
+        self.tally.increment(WorkKind::StoreCall);
         self.direct.as_ref()
     }
 
--- a/src/gateway/shared_store/pass_on.rs
+++ b/src/gateway/shared_store/pass_on.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{SUBJECTS, SharedStore};
-use crate::gateway::parts::EncodedPage;
+use crate::gateway::chunked_pages::EncodedPage;
 use crate::gateway::site_store::Subject;
 use crate::kernel::clock::millis;
 use crate::kernel::position::Position;
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -5,7 +5,7 @@
 
 use spdlog::warn;
 
-use super::parts::EncodedPage;
+use super::chunked_pages::EncodedPage;
 use super::site_store::{SitePage, SiteRecord, Subject};
 use crate::kernel::evacuation::EvacuatedHalls;
 use crate::kernel::fingerprint::RequestFingerprint;
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -145,9 +145,11 @@
     }
     let permit = if continuation.counted {
         let now = call.gateway.now();
-        Some(call.gateway.permit_of_place(&target.id, Some(now)))
+        Some(call.gateway.permit_for_placement(&target.id, Some(now)))
     } else {
-        call.gateway.permit_soon(&call.service, &target.id).await
+        call.gateway
+            .wait_for_permit(&call.service, &target.id)
+            .await
     };
     let permit = permit.ok_or("the engine that has its memory takes no more for now")?;
     let upstream = &call.gateway.upstream;
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -20,7 +20,7 @@
 use tokio::task::AbortHandle;
 
 use super::aborted_requests::Presence;
-use super::endpoint_words::EndpointWords;
+use super::endpoint_signals::EndpointSignalHandler;
 use super::message_heads::ResponseHead;
 use super::permits::Permit;
 use crate::kernel::clock::Clock;
@@ -162,7 +162,7 @@
 
 struct Pools {
     clock: Arc<dyn Clock>,
-    signals: Arc<EndpointWords>,
+    signals: Arc<EndpointSignalHandler>,
     by_endpoint: Mutex<HashMap<String, Pool>>,
     /// Services whose idle connections may be reused only after a short idle time, and until when.
     reuse_restricted_until: Mutex<HashMap<String, Duration>>,
@@ -198,7 +198,7 @@
 }
 
 impl Upstream {
-    pub(crate) fn new(clock: Arc<dyn Clock>, signals: Arc<EndpointWords>) -> Self {
+    pub(crate) fn new(clock: Arc<dyn Clock>, signals: Arc<EndpointSignalHandler>) -> Self {
         Self {
             pools: Arc::new(Pools {
                 clock: clock.clone(),
@@ -447,7 +447,10 @@
         let sent_at = self.open_guard.pools.clock.now();
         // All requests to endpoints pass here, so the rate limit of an endpoint counts each of
         // them, whatever its kind.
-        if !signals.permits.lets_pass(&self.open_guard.endpoint, permit) {
+        if !signals
+            .permits
+            .try_consume(&self.open_guard.endpoint, permit)
+        {
             return Err(SendError::NoPermit);
         }
         let result = self.sender.try_send_request(request.map(Full::new)).await;
@@ -468,7 +471,7 @@
         let head = engine::decode_answer(&parts);
         // All responses of endpoints pass here, so their endpoint signals are recorded whatever was
         // requested. If each caller of `send` read them, signals would be lost.
-        signals.take(&self.open_guard.endpoint, &head, sent_at);
+        signals.record(&self.open_guard.endpoint, &head, sent_at);
         Ok(EndpointResponse {
             head,
             parts,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -10,7 +10,7 @@
 
 use super::generated::peer_client::PeerClient;
 use super::generated::site_client::SiteClient;
-use crate::gateway::parts::{self, EncodedPage};
+use crate::gateway::chunked_pages::{self, EncodedPage};
 use crate::peer::generated as wire;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -146,7 +146,8 @@
         let others = self
             .parts
             .map(|part| part.map(|part| Bytes::from(part.bytes)));
-        let bytes = parts::collect(first.chain(others), parts::SILENCE_MAX).await;
+        let bytes =
+            chunked_pages::collect_chunks(first.chain(others), chunked_pages::CHUNK_TIMEOUT).await;
         Ok(EncodedPage {
             compressed: self.head.compressed,
             bytes: bytes.map_err(|fault| fault.to_string())?,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -17,7 +17,7 @@
 
 use super::names::{STORE_APPEND_PATH, STORE_NEWEST_PATH, STORE_READ_PATH};
 use super::{names, operator_config, servers, unknown};
-use crate::gateway::parts;
+use crate::gateway::chunked_pages;
 use crate::gateway::site_store::{
     KeptSuspect, MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError,
     StoreResult, Subject,
@@ -251,7 +251,8 @@
 
 /// The body of an answer, however long it takes, as long as it keeps coming.
 async fn body(response: reqwest::Response) -> StoreResult<Bytes> {
-    let body = parts::collect(response.bytes_stream(), parts::SILENCE_MAX).await;
+    let body =
+        chunked_pages::collect_chunks(response.bytes_stream(), chunked_pages::CHUNK_TIMEOUT).await;
     body.map_err(|fault| StoreError::NoAnswer(fault.to_string()))
 }
 
--- a/tests/parts.rs
+++ b/tests/chunked_pages.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use futures::StreamExt;
-use larkwick::gateway::parts::{EncodedPage, PART_MAX_BYTES, PageFault, SILENCE_MAX, collect};
+use larkwick::gateway::chunked_pages::{
+    CHUNK_MAX_BYTES, CHUNK_TIMEOUT, EncodedPage, PageError, collect_chunks,
+};
 
 /// Text that a compressor makes little smaller, as names drawn at random are.
 fn page() -> Vec<String> {
@@ -18,7 +20,7 @@
     page: &EncodedPage,
     pause: Duration,
 ) -> impl futures::Stream<Item = Result<Bytes, std::io::Error>> + Unpin {
-    let parts = futures::stream::iter(page.parts());
+    let parts = futures::stream::iter(page.chunks());
     Box::pin(parts.then(move |part| async move {
         tokio::time::sleep(pause).await;
         Ok(part)
@@ -28,11 +30,11 @@
 #[tokio::test(start_paused = true)]
 async fn collect_slow_link_read_to_its_end() {
     let page = EncodedPage::encode(&page()).expect("encoded");
-    let pause = SILENCE_MAX / 2;
+    let pause = CHUNK_TIMEOUT / 2;
     let begun = tokio::time::Instant::now();
-    let bytes = collect(paced(&page, pause), SILENCE_MAX).await;
+    let bytes = collect_chunks(paced(&page, pause), CHUNK_TIMEOUT).await;
     // Far longer than any limit on the whole call.
-    assert!(begun.elapsed() > SILENCE_MAX * 4, "{:?}", begun.elapsed());
+    assert!(begun.elapsed() > CHUNK_TIMEOUT * 4, "{:?}", begun.elapsed());
     let read = EncodedPage {
         compressed: true,
         bytes: bytes.expect("whole"),
@@ -47,9 +49,9 @@
     let parts = paced(&page, Duration::ZERO).take(2);
     let parts = parts.chain(futures::stream::pending());
     let begun = tokio::time::Instant::now();
-    let read = collect(parts, SILENCE_MAX).await;
-    assert!(matches!(read, Err(PageFault::Silent(_))), "{read:?}");
-    assert_eq!(begun.elapsed(), SILENCE_MAX);
+    let read = collect_chunks(parts, CHUNK_TIMEOUT).await;
+    assert!(matches!(read, Err(PageError::TimedOut(_))), "{read:?}");
+    assert_eq!(begun.elapsed(), CHUNK_TIMEOUT);
 }
 
 #[tokio::test]
@@ -58,8 +60,8 @@
         Ok(Bytes::from_static(b"[1,")),
         Err(std::io::Error::other("reset")),
     ]);
-    let read = collect(parts, SILENCE_MAX).await;
-    assert!(matches!(read, Err(PageFault::BrokenOff(_))), "{read:?}");
+    let read = collect_chunks(parts, CHUNK_TIMEOUT).await;
+    assert!(matches!(read, Err(PageError::Aborted(_))), "{read:?}");
 }
 
 #[test]
@@ -67,17 +69,17 @@
     let page = EncodedPage::encode(&["one", "two"]).expect("encoded");
     assert!(!page.compressed);
     assert_eq!(page.bytes, r#"["one","two"]"#);
-    assert_eq!(page.parts().count(), 1);
+    assert_eq!(page.chunks().count(), 1);
 }
 
 #[test]
 fn encode_large_page_compressed_in_parts_of_bounded_size() {
     let page = EncodedPage::encode(&page()).expect("encoded");
     assert!(page.compressed);
-    assert!(page.parts().count() > 1);
-    assert!(page.parts().all(|part| part.len() <= PART_MAX_BYTES));
+    assert!(page.chunks().count() > 1);
+    assert!(page.chunks().all(|part| part.len() <= CHUNK_MAX_BYTES));
     assert_eq!(
-        page.parts().map(|part| part.len()).sum::<usize>(),
+        page.chunks().map(|part| part.len()).sum::<usize>(),
         page.bytes.len()
     );
 }
@@ -87,5 +89,5 @@
     let mut page = EncodedPage::encode(&page()).expect("encoded");
     page.bytes = page.bytes.slice(..page.bytes.len() / 2);
     let read = page.decode::<Vec<String>>();
-    assert!(matches!(read, Err(PageFault::Malformed(_))));
+    assert!(matches!(read, Err(PageError::Malformed(_))));
 }
--- a/tests/support/suspension.rs
+++ b/tests/support/suspension.rs
@@ -61,7 +61,7 @@
         });
         let settings: Settings = serde_json::from_value(settings).expect("settings");
         let clock = Arc::new(SuspendedClock::default());
-        let app = GatewayApp::start_by_clock(settings, None, clock.clone()).await;
+        let app = GatewayApp::start_with_clock(settings, None, clock.clone()).await;
         let app = app.expect("instance starts");
         until("ready", async || app.is_ready()).await;
         let caller = Caller::new(app.caller_address(), app.operator_address());
