--- a/tests/endpoint_signals.rs
+++ b/tests/endpoint_signals.rs
@@ -1,13 +1,19 @@
-//! What endpoints say of themselves in their answers, beside the matter asked.
+//! Signals that endpoints send about themselves in response headers: draining, cooldown, rate limit.
 //!
-//! While the store was away for twelve seconds, an endpoint told in each of its answers that it was leaving, and nine instances went on to send it calls:
-//! 26 of them in five seconds, two more than two seconds after the same instance had passed such an answer on. On another site four engines refused
-//! each generation and asked for three seconds without a request; one instance sent one of them three more within that time, and callers were refused
-//! for want of repeats (`NoRoom`, "engine refused: 503; retry budget spent") while eight engines had room.
+//! Guards against ignoring these signals:
+//! - While the store was unavailable for twelve seconds, an endpoint announced in each response that it
+//!   was draining. Nine instances still sent it 26 calls in five seconds, two of them more than two
+//!   seconds after the same instance had forwarded such a response.
+//! - On another site, four engines refused every generation and requested a cooldown of three seconds.
+//!   One instance sent one of them three more requests within that time, and callers were refused
+//!   because the retry budget was exhausted (`NoRoom`, "engine refused: 503; retry budget spent"),
+//!   while eight engines had capacity.
 //!
-//! Eight facts were read of the head of an answer, and any other header was dropped without a line of log: what an endpoint said of itself counted only
-//! where it also came by the list. What settled it: in five seconds of calls to the one that left, no instance had a line that names it as leaving; and
-//! here one instance alone, whose list does not change, so that nothing can displace the word, goes on to send (11 requests within a rest, two allowed).
+//! Instances read eight facts from a response head and dropped every other header without a log line,
+//! so that an endpoint's state only counted if it also came with the endpoint list: in those five
+//! seconds no instance logged the endpoint as leaving. A single instance with an unchanging list, where
+//! nothing can overwrite the signal, shows the fault too: it sent 11 requests within a cooldown, where
+//! two are allowed.
 
 mod support;
 
@@ -23,11 +29,13 @@
 use larkwick::standin::site::store::StoreMood;
 use support::site::{Instance, RoutedSite, answered, event_numbers, until};
 
-/// Calls that show where calls go; with two endpoints that both take work, all at one of them is rarer than one in a billion.
+/// Number of calls that shows how calls are distributed. With two available endpoints, the probability
+/// that all calls go to the same one is below one in a billion.
 const CALLS: usize = 40;
-/// Far longer than a test takes.
-const LONG_REST: &str = "600";
-/// Requests that may reach an endpoint from an instance that it has asked for rest, and the one that it refused.
+/// Cooldown in seconds, far longer than a test runs.
+const LONG_COOLDOWN: &str = "600";
+/// Maximum number of requests from one instance to an endpoint that requested a cooldown, including the
+/// one that it refused.
 const REQUESTS_MAX: usize = 3;
 
 async fn call_all(instance: &Instance, name: &str) {
@@ -37,10 +45,10 @@
     }
 }
 
-/// Calls until one has been answered by this server.
+/// Sends calls until this server has received one.
 async fn until_answered_by(instance: &Instance, server: &Server, name: &str) {
     let mut tries = 0;
-    until("answered by it", async || {
+    until("a request reached it", async || {
         tries += 1;
         instance.call("/calls/a", &format!("{name}-{tries}")).await;
         server.requests() > 0
@@ -48,77 +56,77 @@
     .await;
 }
 
-/// Two engines; the first one refuses and asks for rest.
-async fn resting_engine(site: &RoutedSite) -> (Arc<Server>, Arc<Server>) {
-    let (resting, other) = (site.engine().await, site.engine().await);
-    resting.set_fault(ServerFault::Refuses);
-    resting.ask_for_rest(Some(LONG_REST));
-    (resting, other)
+/// Starts two engines; the first one refuses requests and asks for a cooldown.
+async fn cooling_engine(site: &RoutedSite) -> (Arc<Server>, Arc<Server>) {
+    let (cooling, other) = (site.engine().await, site.engine().await);
+    cooling.set_fault(ServerFault::Refuses);
+    cooling.ask_for_rest(Some(LONG_COOLDOWN));
+    (cooling, other)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_said_in_an_answer_no_call_follows() {
+async fn draining_in_a_response_no_further_calls() {
     let site = RoutedSite::start(2).await;
     let instance = site.instance("n1").await;
-    let leaving = &site.apps[0];
-    leaving.say_leaving("1");
-    until_answered_by(&instance, leaving, "first").await;
-    let before = leaving.requests();
+    let draining = &site.apps[0];
+    draining.say_leaving("1");
+    until_answered_by(&instance, draining, "first").await;
+    let before = draining.requests();
     call_all(&instance, "after").await;
-    assert_eq!(leaving.requests(), before, "calls went on to it");
+    assert_eq!(draining.requests(), before, "calls still reached it");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_said_by_an_engine_no_generation_follows_at_any_instance() {
+async fn draining_engine_no_further_generations_from_any_instance() {
     let site = RoutedSite::start(0).await;
-    let (leaving, other) = (site.engine().await, site.engine().await);
+    let (draining, other) = (site.engine().await, site.engine().await);
     let first = site.instance("n1").await;
     let second = site.instance_with_seeds("n2", &[&first]);
     second.until_ready().await;
-    leaving.say_leaving("1");
+    draining.say_leaving("1");
     let mut tries = 0;
-    until("answered by it", async || {
+    until("a request reached it", async || {
         tries += 1;
         answered(first.generation(2, &format!("first-{tries}"))).await;
-        leaving.requests() > 0
+        draining.requests() > 0
     })
     .await;
     for instance in [&first, &second] {
         until("known", async || {
-            instance.standing(&leaving).await == "leaving"
+            instance.standing(&draining).await == "leaving"
         })
         .await;
     }
-    let before = leaving.requests();
+    let before = draining.requests();
     for (number, instance) in [&first, &second].into_iter().cycle().take(20).enumerate() {
         let answer = answered(instance.generation(2, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    assert_eq!(leaving.requests(), before, "generations went on to it");
+    assert_eq!(draining.requests(), before, "generations still reached it");
     assert!(other.requests() >= 20);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rest_asked_by_an_endpoint_calls_go_elsewhere() {
+async fn cooldown_of_an_endpoint_calls_go_elsewhere() {
     let site = RoutedSite::start(2).await;
     let instance = site.instance("n1").await;
-    let resting = &site.apps[0];
-    resting.set_fault(ServerFault::Refuses);
-    resting.ask_for_rest(Some(LONG_REST));
+    let cooling = &site.apps[0];
+    cooling.set_fault(ServerFault::Refuses);
+    cooling.ask_for_rest(Some(LONG_COOLDOWN));
     for round in 0..5 {
         call_all(&instance, &format!("round-{round}")).await;
     }
-    let got = resting.requests();
+    let received = cooling.requests();
     assert!(
-        (1..=REQUESTS_MAX).contains(&got),
-        "{got} requests reached it"
+        (1..=REQUESTS_MAX).contains(&received),
+        "{received} requests reached it"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rest_asked_by_an_engine_generations_go_elsewhere() {
+async fn cooldown_of_an_engine_generations_go_elsewhere() {
     let site = RoutedSite::start(0).await;
-    let (resting, _other) = resting_engine(&site).await;
+    let (cooling, _other) = cooling_engine(&site).await;
     let first = site.instance("n1").await;
     let second = site.instance_with_seeds("n2", &[&first]);
     second.until_ready().await;
@@ -126,23 +134,23 @@
     for (number, instance) in instances.into_iter().cycle().take(16).enumerate() {
         let answer = answered(instance.generation(2, &format!("g-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        // Longer than the owner passes over an engine that has refused.
+        // Longer than the owner avoids an engine after a refusal.
         tokio::time::sleep(Duration::from_millis(450)).await;
     }
-    let got = resting.requests();
+    let received = cooling.requests();
     assert!(
-        (1..=REQUESTS_MAX * instances.len()).contains(&got),
-        "{got} requests reached it"
+        (1..=REQUESTS_MAX * instances.len()).contains(&received),
+        "{received} requests reached it"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rest_asked_by_all_refused_at_once_and_told_when() {
+async fn cooldown_of_all_refused_at_once_with_retry_time() {
     let site = RoutedSite::start(2).await;
     let instance = site.instance("n1").await;
     for app in &site.apps {
         app.set_fault(ServerFault::Refuses);
-        app.ask_for_rest(Some(LONG_REST));
+        app.ask_for_rest(Some(LONG_COOLDOWN));
     }
     for number in 0..20 {
         let id = format!("call-{number}");
@@ -152,16 +160,20 @@
         assert!(site.standin.runs_of(&id).is_empty());
     }
     for app in &site.apps {
-        let got = app.requests();
-        assert!(got <= REQUESTS_MAX, "{got} requests reached one");
+        let received = app.requests();
+        assert!(received <= REQUESTS_MAX, "{received} requests reached one");
     }
-    let told = instance.call("/calls/a", "last").await.retry_after;
-    assert!(told.is_some_and(|told_s| told_s > 500.0), "told {told:?}");
+    let retry_after = instance.call("/calls/a", "last").await.retry_after;
+    assert!(
+        retry_after.is_some_and(|seconds| seconds > 500.0),
+        "retry after {retry_after:?}"
+    );
 }
 
-/// A rest that ends while the call can still come within its goal of a second is waited for; the caller need not come back.
+/// A call waits for a cooldown that ends early enough for the call to meet its latency objective of one
+/// second, so that the caller need not retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn rest_asked_by_all_ends_within_the_goal_waited_for() {
+async fn cooldown_of_all_ending_within_the_objective_waited_for() {
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     let app = &site.apps[0];
@@ -173,8 +185,8 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// What is read of the head of an answer with these headers.
-fn word_of(status: u16, headers: &[(&str, &str)]) -> EndpointSignals {
+/// Decodes the signals in a response head with these headers.
+fn signals_of(status: u16, headers: &[(&str, &str)]) -> EndpointSignals {
     let answer = Response::builder().status(status);
     let answer = headers
         .iter()
@@ -184,43 +196,47 @@
 }
 
 #[test]
-fn decode_answer_leaving_whatever_the_answer() {
+fn decode_answer_draining_for_any_status() {
     for status in [200, 404, 421, 500, 503, 504] {
-        let word = word_of(status, &[("server-leaving", "1")]);
-        assert!(word.draining, "{status}");
+        let signals = signals_of(status, &[("server-leaving", "1")]);
+        assert!(signals.draining, "{status}");
     }
-    let said_twice = [("server-leaving", "0"), ("server-leaving", " 1 ")];
-    assert!(word_of(200, &said_twice).draining);
+    let repeated = [("server-leaving", "0"), ("server-leaving", " 1 ")];
+    assert!(signals_of(200, &repeated).draining);
     for text in ["0", "", "yes", "\u{e9}"] {
         assert!(
-            !word_of(200, &[("server-leaving", text)]).draining,
+            !signals_of(200, &[("server-leaving", text)]).draining,
             "{text}"
         );
     }
-    assert!(!word_of(200, &[]).draining);
+    assert!(!signals_of(200, &[]).draining);
 }
 
 #[test]
-fn decode_answer_rest_of_a_refusal_alone() {
-    let rest_of = |status, text| word_of(status, &[("retry-after", text)]).cooldown;
+fn decode_answer_cooldown_only_for_refusals() {
+    let cooldown_of = |status, text| signals_of(status, &[("retry-after", text)]).cooldown;
     let seconds = |seconds| Some(Duration::from_secs_f64(seconds));
-    assert_eq!(rest_of(503, "3"), seconds(3.0));
-    assert_eq!(rest_of(503, " 0.25 "), seconds(0.25));
-    assert_eq!(rest_of(503, "0"), seconds(0.0));
-    assert_eq!(rest_of(503, "1e300"), Some(Duration::MAX));
+    assert_eq!(cooldown_of(503, "3"), seconds(3.0));
+    assert_eq!(cooldown_of(503, " 0.25 "), seconds(0.25));
+    assert_eq!(cooldown_of(503, "0"), seconds(0.0));
+    assert_eq!(cooldown_of(503, "1e300"), Some(Duration::MAX));
     for text in ["-1", "nan", "", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"] {
-        assert_eq!(rest_of(503, text), None, "{text}");
+        assert_eq!(cooldown_of(503, text), None, "{text}");
     }
     for status in [200, 429, 500, 504] {
-        assert_eq!(rest_of(status, "3"), None, "{status} is for the caller");
+        assert_eq!(
+            cooldown_of(status, "3"),
+            None,
+            "{status}: meant for the caller"
+        );
     }
-    let said_twice = [("retry-after", "2"), ("retry-after", "5")];
-    assert_eq!(word_of(503, &said_twice).cooldown, seconds(5.0));
+    let repeated = [("retry-after", "2"), ("retry-after", "5")];
+    assert_eq!(signals_of(503, &repeated).cooldown, seconds(5.0));
 }
 
 #[test]
-fn decode_answer_limit_whatever_the_answer() {
-    let limit_of = |status, text| word_of(status, &[("server-limit", text)]).limit;
+fn decode_answer_limit_for_any_status() {
+    let limit_of = |status, text| signals_of(status, &[("server-limit", text)]).limit;
     for status in [200, 404, 500, 503, 504] {
         assert_eq!(limit_of(status, "3.3"), LimitSignal::PerS(3.3), "{status}");
     }
@@ -229,16 +245,16 @@
     for text in ["-1", "nan", "inf", "1e309", "", "few", "\u{e9}"] {
         assert_eq!(limit_of(200, text), LimitSignal::Invalid, "{text}");
     }
-    assert_eq!(word_of(200, &[]).limit, LimitSignal::Absent);
+    assert_eq!(signals_of(200, &[]).limit, LimitSignal::Absent);
     for texts in [["7", "2"], ["2", "7"], ["few", "2"], ["2", ""]] {
-        let said_twice = texts.map(|text| ("server-limit", text));
-        assert_eq!(word_of(200, &said_twice).limit, LimitSignal::PerS(2.0));
+        let repeated = texts.map(|text| ("server-limit", text));
+        assert_eq!(signals_of(200, &repeated).limit, LimitSignal::PerS(2.0));
     }
 }
 
 #[test]
-fn answer_headers_what_endpoints_say_to_us_not_passed_on() {
-    let passed_on = |status: u16| {
+fn answer_headers_endpoint_signals_not_forwarded() {
+    let is_retry_after_forwarded = |status: u16| {
         let answer = Response::builder().status(status).header("x-own", "1");
         let answer = answer
             .header("retry-after", "7")
@@ -251,13 +267,14 @@
         assert!(!headers.contains_key("server-limit"));
         headers.contains_key("retry-after")
     };
-    assert!(passed_on(429), "asked of the caller");
-    assert!(!passed_on(503), "asked of us");
+    assert!(is_retry_after_forwarded(429), "meant for the caller");
+    assert!(!is_retry_after_forwarded(503), "meant for the proxy");
 }
 
-/// What runs on an engine that says it leaves is moved off it, as for a departure that the list tells of.
+/// Generations that run on an engine that announces that it drains are moved to another engine, as if
+/// the list had reported that it leaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_said_by_an_engine_what_runs_there_is_moved() {
+async fn draining_engine_running_generations_moved() {
     let site = RoutedSite::start(0).await;
     let engines = [site.engine().await, site.engine().await];
     let instance = site.instance("n1").await;
@@ -267,31 +284,35 @@
     })
     .await;
     let is_on_first = engines[0].running() > 0;
-    let (leaving, other) = if is_on_first {
+    let (draining, other) = if is_on_first {
         (&engines[0], &engines[1])
     } else {
         (&engines[1], &engines[0])
     };
-    leaving.say_leaving("1");
+    draining.say_leaving("1");
     let mut tries = 0;
     until("known", async || {
         tries += 1;
         // Several at once, so that some go to each engine.
         let short = |number| answered(instance.generation(4, &format!("short-{number}-{tries}")));
         tokio::join!(short(1), short(2), short(3));
-        instance.standing(leaving).await == "leaving"
+        instance.standing(draining).await == "leaving"
     })
     .await;
     let answer = long.await.expect("answered");
     assert!(answer.whole, "{answer:?}");
     let numbers = event_numbers(&answer.body);
     assert_eq!(numbers, (1..=200).collect::<Vec<u32>>());
-    assert!(other.head_of("long").is_some(), "it went on there");
+    assert!(
+        other.head_of("long").is_some(),
+        "resumed on the other engine"
+    );
 }
 
-/// While the list is away nobody hears of the endpoints that take the place of those that leave: their callers need not come back before it is.
+/// While the endpoint list is unavailable, replacements for the draining endpoints are unknown, so that
+/// callers need not retry before it is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_said_by_all_while_the_list_is_away_refused_at_once() {
+async fn draining_all_while_the_list_is_unavailable_refused_at_once() {
     let site = RoutedSite::start(1).await;
     let engine = site.engine().await;
     let instance = site.instance("n1").await;
@@ -304,7 +325,7 @@
         200
     );
     site.standin.store.set_mood(StoreMood::Busy);
-    until("told to come back once the list is back", async || {
+    until("retry time covers the outage of the list", async || {
         let call = instance.call("/calls/a", "second").await;
         let generation = answered(instance.generation(2, "second-2")).await;
         assert_eq!((call.status, generation.status), (503, 503));
@@ -313,7 +334,7 @@
     .await;
 }
 
-/// Names of headers that an instance has told once that nothing is made of, by whose they are.
+/// Returns the names of unknown headers that an instance has logged, for one kind of peer.
 fn unknown_headers(instance: &Instance, kind: &str) -> BTreeSet<String> {
     let lines = instance.lines.lock().expect("lines");
     let unknown = lines
@@ -325,10 +346,10 @@
         .collect()
 }
 
-/// A header that is new on the platform's pages shows in the logs whichever answer it came with: a call's, a refusal, a generation's, the store's. Reports and
-/// orders to move are read by the same function.
+/// An unknown header is logged whichever response it came with: of a call, a refusal, a generation or
+/// the store. Reports and move orders are decoded by the same function.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_header_unknown_told_once_whatever_the_answer() {
+async fn answer_header_unknown_logged_once_for_any_response() {
     let site = RoutedSite::start(2).await;
     site.apps[0].say_unknown("x-of-a-call");
     site.apps[1].say_unknown("x-of-a-refusal");
@@ -339,14 +360,14 @@
     }
     site.standin.store.say_unknown("x-of-the-store");
     let instance = site.instance("n1").await;
-    let known = async || {
+    let logged_names = async || {
         instance.call("/calls/a", "any").await;
         answered(instance.generation(2, "any-2")).await;
         unknown_headers(&instance, "endpoint's header")
     };
     let expected = ["x-of-a-call", "x-of-a-refusal", "x-of-an-engine"];
     let expected: BTreeSet<String> = expected.into_iter().map(str::to_owned).collect();
-    until("told", async || known().await == expected).await;
+    until("logged", async || logged_names().await == expected).await;
     let of_store = unknown_headers(&instance, "store's header");
     assert_eq!(of_store, BTreeSet::from(["x-of-the-store".to_owned()]));
     let metrics = instance.metrics().await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,11 +1,13 @@
-//! Endpoints that name how many requests a second they take from all instances together.
+//! Rate limits that endpoints announce for the sum of requests from all instances.
 //!
-//! Two of three plain endpoints named 2.9 and 3 requests a second in their answers, and got 31 and 35 in the four seconds that began three seconds
-//! later, from six instances that had all passed on such answers; 22 and 23 are allowed.
+//! Guards against exceeding such a limit. Two of three plain endpoints announced 2.9 and 3 requests per
+//! second, and received 31 and 35 in the four seconds that began three seconds later, where 22 and 23
+//! are allowed. All of the six instances had forwarded responses with the header, but none read it, and
+//! other site-wide bounds were kept by each instance alone, with an estimated share.
 //!
-//! Nobody read the header, and what is known of other bounds on all instances was kept by each of them alone, by a share that is a guess. What
-//! settled it: no instance sent more than 9 of those 31, below the 11.6 that the endpoint names for four seconds, so that instances that each keep to
-//! the limit would have broken it alike; it is the sum that has to be kept. Here four instances sent 42 where 20 are allowed.
+//! A limit per instance is not enough: no instance sent more than 9 of those 31 requests, below the
+//! 11.6 that the endpoint announced for four seconds. The sum has to be limited. Without that, the four
+//! instances of these tests sent 42 requests where 20 are allowed.
 
 mod support;
 
@@ -16,22 +18,23 @@
 use nix::sys::signal::Signal;
 use support::site::{Answered, Caller, Instance, RoutedSite, answered, until};
 
-/// What the tests' endpoints name, and as it stands in the header.
+/// The limit that the endpoints announce, as a number and as the header value.
 const LIMIT_PER_S: f64 = 2.5;
 const LIMIT: &str = "2.5";
-/// Users count over any span of this length,
+/// Requests are counted over every span of this length, as users do,
 const SPAN: Duration = Duration::from_secs(4);
-/// from this long after the limit was first named.
-const COUNTED_AFTER: Duration = Duration::from_secs(3);
-/// How long the callers call.
-const CALLED_FOR: Duration = Duration::from_secs(9);
+/// starting this long after the limit was first announced.
+const COUNTING_DELAY: Duration = Duration::from_secs(3);
+/// How long callers send requests.
+const CALL_PERIOD: Duration = Duration::from_secs(9);
 
-/// Requests that may reach an endpoint within a span, as users count: half as many again as it takes, and five.
-fn allowed(limit_per_s: f64) -> f64 {
+/// Returns how many requests may reach an endpoint within a span, as users count: one and a half times
+/// its limit, plus five.
+fn max_requests(limit_per_s: f64) -> f64 {
     1.5 * limit_per_s * SPAN.as_secs_f64() + 5.0
 }
 
-/// Starts so many instances that know each other.
+/// Starts `count` instances that know each other.
 async fn instances(site: &RoutedSite, count: usize) -> Vec<Instance> {
     let first = site.instance("n0").await;
     let mut instances = vec![first];
@@ -43,46 +46,46 @@
     instances
 }
 
-/// Sends requests to all instances in turn, each without waiting for the one before, for [`CALLED_FOR`].
+/// Sends requests to the instances in turn for [`CALL_PERIOD`], without waiting for earlier responses.
 async fn call_steadily(
     instances: &[Instance],
     pause: Duration,
     request: impl Fn(&Caller, &str) -> reqwest::RequestBuilder,
 ) -> Vec<Answered> {
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
-    let begun = Instant::now();
-    let mut asked = Vec::new();
+    let started_at = Instant::now();
+    let mut calls = Vec::new();
     for (number, caller) in callers.iter().cycle().enumerate() {
-        if begun.elapsed() > CALLED_FOR {
+        if started_at.elapsed() > CALL_PERIOD {
             break;
         }
         let request = request(caller, &format!("r{number}"));
-        asked.push(tokio::spawn(answered(request)));
+        calls.push(tokio::spawn(answered(request)));
         tokio::time::sleep(pause).await;
     }
     let mut answers = Vec::new();
-    for one in asked {
-        answers.push(one.await.expect("a caller ended"));
+    for call in calls {
+        answers.push(call.await.expect("caller task failed"));
     }
     answers
 }
 
-fn check_sum(server: &Arc<Server>, named_at: Instant) {
-    let most = server.most_within(SPAN, named_at + COUNTED_AFTER);
+fn assert_limit_kept(server: &Arc<Server>, announced_at: Instant) {
+    let most = server.most_within(SPAN, announced_at + COUNTING_DELAY);
     let most = f64::from(u32::try_from(most).expect("few requests"));
-    let allowed = allowed(LIMIT_PER_S);
+    let allowed = max_requests(LIMIT_PER_S);
     assert!(
         most <= allowed,
-        "{most} reached {} within {SPAN:?}, {allowed} are allowed",
+        "{most} requests reached {} within {SPAN:?}, {allowed} are allowed",
         server.id
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_named_by_two_of_three_plain_endpoints_sum_of_all_instances_kept() {
+async fn limit_announced_by_two_of_three_plain_endpoints_kept_across_instances() {
     let site = RoutedSite::start(3).await;
     let instances = instances(&site, 4).await;
-    let named_at = Instant::now();
+    let announced_at = Instant::now();
     for app in &site.apps[..2] {
         app.name_limit(Some(LIMIT));
     }
@@ -91,21 +94,25 @@
     })
     .await;
     for app in &site.apps[..2] {
-        check_sum(app, named_at);
+        assert_limit_kept(app, announced_at);
     }
     let served = answers.iter().filter(|answer| answer.status == 200).count();
-    assert_eq!(served, answers.len(), "the third one has room for all");
+    assert_eq!(
+        served,
+        answers.len(),
+        "the endpoint without a limit can serve all"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_named_by_two_of_three_engines_sum_of_all_instances_kept() {
+async fn limit_announced_by_two_of_three_engines_kept_across_instances() {
     let site = RoutedSite::start(0).await;
     let mut engines = Vec::new();
     for _ in 0..3 {
         engines.push(site.engine().await);
     }
     let instances = instances(&site, 4).await;
-    let named_at = Instant::now();
+    let announced_at = Instant::now();
     for engine in &engines[..2] {
         engine.name_limit(Some(LIMIT));
     }
@@ -114,18 +121,22 @@
     })
     .await;
     for engine in &engines[..2] {
-        check_sum(engine, named_at);
+        assert_limit_kept(engine, announced_at);
     }
     let served = answers.iter().filter(|answer| answer.status == 200).count();
-    assert_eq!(served, answers.len(), "the third one has room for all");
+    assert_eq!(
+        served,
+        answers.len(),
+        "the endpoint without a limit can serve all"
+    );
 }
 
-/// All take little together: what nobody takes is refused at once, not run, and told when to come back.
+/// Every endpoint has a limit: excess requests are refused at once without running, with a retry time.
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_named_by_all_sum_kept_and_the_rest_refused_at_once() {
+async fn limit_announced_by_all_excess_refused_at_once() {
     let site = RoutedSite::start(2).await;
     let instances = instances(&site, 4).await;
-    let named_at = Instant::now();
+    let announced_at = Instant::now();
     for app in &site.apps {
         app.name_limit(Some(LIMIT));
     }
@@ -134,43 +145,47 @@
     })
     .await;
     for app in &site.apps {
-        check_sum(app, named_at);
+        assert_limit_kept(app, announced_at);
     }
     let (served, refused): (Vec<_>, Vec<_>) =
         answers.iter().partition(|answer| answer.status == 200);
     assert!(!served.is_empty());
     for answer in &refused {
         assert_eq!(answer.status, 503, "{answer:?}");
-        let told_s = answer.retry_after.unwrap_or_default();
-        assert!(told_s >= 0.1, "{answer:?}: sooner it meets the same crowd");
+        let retry_after_s = answer.retry_after.unwrap_or_default();
+        assert!(
+            retry_after_s >= 0.1,
+            "{answer:?}: an earlier retry meets the same congestion"
+        );
     }
     let ran = |number: usize| site.standin.runs_of(&format!("r{number}")).len();
     let ran = (0..answers.len()).map(ran).sum::<usize>();
-    assert_eq!(ran, served.len(), "a refused one ran");
+    assert_eq!(ran, served.len(), "a refused request ran");
 }
 
-/// It takes nothing for a while, so that hardly anybody is left to hear that it takes all again.
+/// With a limit of zero an endpoint receives hardly any requests, so that few responses remain that
+/// could show that the limit has ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_of_nothing_that_ends_heard_of_and_calls_go_there_again() {
+async fn limit_of_zero_removed_calls_resume() {
     let site = RoutedSite::start(2).await;
     let instances = instances(&site, 3).await;
     let app = &site.apps[0];
     app.name_limit(Some("0"));
-    let all_know = async |named: bool| {
+    let wait_until_known = async |is_limited: bool| {
         for instance in &instances {
-            until("all know", async || {
+            until("every instance knows", async || {
                 instance.call("/calls/a", "any").await;
                 let state = instance.state().await;
                 let endpoints = state["endpoints"].as_object().cloned().unwrap_or_default();
                 let mut limits = endpoints.values().map(|one| &one["limit_per_s"]);
-                limits.any(|limit| !limit.is_null()) == named
+                limits.any(|limit| !limit.is_null()) == is_limited
             })
             .await;
         }
     };
-    all_know(true).await;
+    wait_until_known(true).await;
     app.name_limit(None);
-    all_know(false).await;
+    wait_until_known(false).await;
     let before = app.requests();
     for number in 0..40 {
         let answer = instances[0]
@@ -181,24 +196,24 @@
     assert!(app.requests() > before);
 }
 
-/// One after the other, instances stand still and are killed, whoever of them gives the permits.
+/// The instances are suspended one after the other, and some are killed, whichever issues the permits.
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_givers_stand_still_and_are_killed_sum_kept() {
+async fn limit_issuers_suspended_and_killed_still_kept() {
     let site = RoutedSite::start(2).await;
     let mut instances = instances(&site, 4).await;
-    let named_at = Instant::now();
+    let announced_at = Instant::now();
     for app in &site.apps {
         app.name_limit(Some(LIMIT));
     }
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
     let calls = tokio::spawn(async move {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for (number, caller) in callers.iter().cycle().enumerate() {
-            if begun.elapsed() > CALLED_FOR {
+            if started_at.elapsed() > CALL_PERIOD {
                 break;
             }
             let call = caller.request("/calls/a", &format!("r{number}"));
-            // Who is killed answers nothing.
+            // A killed instance does not answer.
             tokio::spawn(async move { call.timeout(Duration::from_secs(5)).send().await.is_ok() });
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
@@ -211,24 +226,24 @@
         }
         instances.pop();
     }
-    calls.await.expect("callers end");
+    calls.await.expect("caller task failed");
     for app in &site.apps {
-        check_sum(app, named_at);
+        assert_limit_kept(app, announced_at);
     }
 }
 
-/// One instance alone is told by answers; the others hear of it from members, and of its end.
+/// Only one instance sees the limit in responses; the others learn of its start and end from members.
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_told_to_one_instance_known_to_all() {
+async fn limit_seen_by_one_instance_known_to_all() {
     let site = RoutedSite::start(2).await;
     let instances = instances(&site, 3).await;
     let app = &site.apps[0];
     let limit_at = async |instance: &Instance| {
         let state = instance.state().await;
         let endpoints = state["endpoints"].as_object().cloned().unwrap_or_default();
-        let is_of =
+        let matches =
             |one: &&serde_json::Value| one["entry"]["address"] == serde_json::json!(app.address());
-        let found = endpoints.values().find(is_of).cloned();
+        let found = endpoints.values().find(matches).cloned();
         found.and_then(|one| one["limit_per_s"].as_f64())
     };
     app.name_limit(Some(LIMIT));
@@ -241,7 +256,7 @@
     }
     app.name_limit(None);
     for instance in &instances {
-        until("known to be over", async || {
+        until("known to have ended", async || {
             instances[0].call("/calls/a", "any").await;
             limit_at(instance).await.is_none()
         })
