--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -234,8 +234,8 @@
     }
 }
 
-/// The listeners of an instance. They are bound first so that ports assigned by the operating system
-/// are known.
+/// The listeners of an instance. They are bound first so that ports assigned by the operating
+/// system are known.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
--- a/src/gateway/chunked_pages.rs
+++ b/src/gateway/chunked_pages.rs
@@ -1,7 +1,8 @@
 //! Transfer of pages between instances in chunks; large pages are compressed.
 //!
-//! The timeout applies to each chunk, not to the whole page. A timeout for the whole page would have to
-//! assume a link speed, and on a slower link every transfer would be aborted and restarted forever.
+//! The timeout applies to each chunk, not to the whole page. A timeout for the whole page would
+//! have to assume a link speed, and on a slower link every transfer would be aborted and restarted
+//! forever.
 
 use std::io::{Read, Write};
 use std::time::Duration;
--- a/src/gateway/endpoint_signals.rs
+++ b/src/gateway/endpoint_signals.rs
@@ -22,8 +22,8 @@
 pub(crate) struct EndpointSignalHandler {
     clock: Arc<dyn Clock>,
     fleet: Arc<Mutex<Fleet>>,
-    /// Endpoints that requested a cooldown from this instance. No other lock is acquired while this one
-    /// is held.
+    /// Endpoints that requested a cooldown from this instance. No other lock is acquired while this
+    /// one is held.
     pub(super) cooldowns: Mutex<EndpointCooldowns>,
     /// Limits on the sum of requests from all instances, and the permits for them.
     pub(super) permits: Arc<EndpointPermits>,
@@ -47,12 +47,12 @@
 
     /// Records the signals in a response head.
     ///
-    /// `endpoint` is the endpoint incarnation to which the connection was opened; `sent_at` is when the
-    /// request was sent.
+    /// `endpoint` is the endpoint incarnation to which the connection was opened; `sent_at` is when
+    /// the request was sent.
     pub(crate) fn record(&self, endpoint: &str, head: &ResponseHead, sent_at: Duration) {
         if head.misdirected {
-            // Another endpoint answered without naming its incarnation, so that the signals cannot be
-            // attributed.
+            // Another endpoint answered without naming its incarnation, so that the signals cannot
+            // be attributed.
             return;
         }
         if head.signals.draining {
@@ -62,7 +62,8 @@
             self.record_cooldown(endpoint, cooldown);
         }
         if head.signals.limit != LimitSignal::Absent || head.request_id.is_some() {
-            // A response without any sign that the endpoint itself produced it does not end a limit.
+            // A response without any sign that the endpoint itself produced it does not end a
+            // limit.
             self.record_limit(endpoint, head.signals.limit, sent_at);
         }
     }
--- a/src/gateway/hall_evacuation.rs
+++ b/src/gateway/hall_evacuation.rs
@@ -23,8 +23,8 @@
         self.handle_hall_changes(&changes, evacuated.complete_to, source);
     }
 
-    /// Advances the time-dependent state of evacuations that are retained since the store was restored
-    /// from an older copy.
+    /// Advances the time-dependent state of evacuations that are retained since the store was
+    /// restored from an older copy.
     pub(crate) fn advance_halls(&self) {
         let now = self.now();
         let (changes, complete_to) = {
@@ -54,8 +54,8 @@
 
     /// Treats the endpoints of a hall that is back in service as being in cold start.
     ///
-    /// They may have been restarted while they received no requests. Until they report otherwise, they
-    /// are limited to the rate that they sustain after a start.
+    /// They may have been restarted while they received no requests. Until they report otherwise,
+    /// they are limited to the rate that they sustain after a start.
     fn mark_hall_cold(&self, hall: &str) {
         let Some(table) = self.table() else { return };
         let cold_start_duration = |service: &str| {
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -18,14 +18,14 @@
 /// Timeout for a heartbeat. Peers are normally reachable within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Connections to peers that were not used for this long are closed. With 295 members, memory peaked
-/// at 31.6 MB per instance while all connections were kept open.
+/// Connections to peers that were not used for this long are closed. With 295 members, memory
+/// peaked at 31.6 MB per instance while all connections were kept open.
 const CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Upper bound of the random offset at which a heartbeat starts its list of endpoint updates. The
 /// offset ensures that every update is sent when there are more than fit into one heartbeat. The
 /// bound is far above the number of endpoints of a site.
-const UPDATE_OFFSETS: usize = 1 << 20;
+const UPDATE_OFFSET_RANGE: usize = 1 << 20;
 
 /// Minimum interval between heartbeats sent ahead of schedule: half of the regular interval.
 const EARLY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
@@ -46,7 +46,7 @@
         let recent = members.departures.recorded_since(since);
         recent.map(wire::Incarnation::from).collect()
     };
-    let first = rand::random_range(0..UPDATE_OFFSETS);
+    let first = rand::random_range(0..UPDATE_OFFSET_RANGE);
     let (evacuated, leaving_endpoints) = {
         let fleet = gateway.fleet.lock();
         let draining = fleet.drain_notices(first, gateway.now());
--- a/src/gateway/live_members.rs
+++ b/src/gateway/live_members.rs
@@ -72,7 +72,8 @@
         self.changed.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the current view. It is the same object for as long as the live members are the same.
+    /// Returns the current view. It is the same object for as long as the live members are the
+    /// same.
     pub(crate) fn view(&self) -> Arc<LiveView> {
         let now = self.clock.now();
         let mut current = self.current.lock();
@@ -96,8 +97,8 @@
 
     /// Returns whether a view still matches the live members.
     ///
-    /// Compares in place: copying 295 names several times per second caused most of the allocations of
-    /// an idle instance.
+    /// Compares in place: copying 295 names several times per second caused most of the allocations
+    /// of an idle instance.
     fn is_current(&self, view: &LiveView, now: Duration) -> bool {
         let members = self.members.lock();
         let entries = self.entries.lock();
@@ -127,12 +128,12 @@
         let mut live: Vec<LiveMember> = {
             let members = self.members.lock();
             let live = members.live(MEMBER_RING, now);
-            let named = live.map(|peer| LiveMember {
+            let live_members = live.map(|peer| LiveMember {
                 name: peer.status.incarnation.name.clone(),
                 peer_address: peer.status.peer_address.clone(),
                 capacity_cores: UNKNOWN_CORES,
             });
-            named.collect()
+            live_members.collect()
         };
         live.push(LiveMember {
             name: self.own_name.clone(),
@@ -149,8 +150,8 @@
     }
 }
 
-/// Logs which members were added and removed. The lines of all instances together show which instance
-/// considered which member live, and for how long.
+/// Logs which members were added and removed. The lines of all instances together show which
+/// instance considered which member live, and for how long.
 fn log_membership_change(before: &LiveView, after: &LiveView) {
     if !crate::log::admits("members live") {
         return;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,6 +10,8 @@
 //! | `heartbeat` | heartbeats and gossip between members |
 //! | `live_members` | cached view of the live members |
 //! | `listener` | connections of callers |
+//! | `operator_api` | HTTP routes for operators |
+//! | `peers`, `chunked_pages` | the gRPC service for other instances, and the transfer of pages in chunks |
 //! | `inbound_call`, `message_heads`, `response_body` | a call in flight, heads of requests and responses, and the response body |
 //! | `hall_evacuation` | evacuation of halls, by order of the operator or as received from members |
 //! | `aborted_requests` | requests that their endpoint aborted, and probes of that endpoint |
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -351,11 +351,11 @@
         let now = self.now();
         let members: Vec<(String, bool)> = {
             let members = self.members.lock();
-            let named = members.all().map(|peer| {
+            let states = members.all().map(|peer| {
                 let name = &peer.status.incarnation.name;
                 (name.clone(), members.is_live(name, MEMBER_RING, now))
             });
-            named.collect()
+            states.collect()
         };
         let members = members
             .iter()
@@ -399,8 +399,9 @@
 
     /// Runs `change` on the retry budget of a service.
     ///
-    /// The share of this instance is recomputed on each call, since the number of instances changes:
-    /// with shares fixed at the first call, their sum was several times the site-wide allowance.
+    /// The share of this instance is recomputed on each call, since the number of instances
+    /// changes: with shares fixed at the first call, their sum was several times the site-wide
+    /// allowance.
     fn with_retry_budget<T>(&self, service: &str, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let instances = self.sharing_instance_count();
         let (allowance, window) = {
@@ -485,11 +486,11 @@
         let live: Vec<(String, SocketAddr)> = {
             let members = self.members.lock();
             let live = members.live(MEMBER_RING, self.now());
-            let named = live.filter_map(|peer| {
+            let addresses = live.filter_map(|peer| {
                 let address = peer.status.caller_address.parse().ok()?;
                 Some((peer.status.incarnation.name.clone(), address))
             });
-            named.collect()
+            addresses.collect()
         };
         let mut weighted: Vec<(f64, SocketAddr)> = {
             let entries = self.member_entries.lock();
--- a/src/gateway/operator_api.rs
+++ b/src/gateway/operator_api.rs
@@ -71,11 +71,11 @@
     let now = gateway.now();
     let members = {
         let members = gateway.members.lock();
-        let dumped = members.all().map(|peer| MemberDump {
+        let dumps = members.all().map(|peer| MemberDump {
             status: peer.status.clone(),
             last_heard_ms_ago: peer.last_heard.map(|at| millis(now.saturating_sub(at))),
         });
-        dumped.collect()
+        dumps.collect()
     };
     let fleet: Vec<(EndpointEntry, Availability)> = {
         let fleet = gateway.fleet.lock();
@@ -86,7 +86,7 @@
     let endpoints = {
         let health = gateway.health.lock();
         let cooldowns = gateway.endpoint_signals.cooldowns.lock();
-        let dumped = fleet.into_iter().map(|(entry, availability)| {
+        let dumps = fleet.into_iter().map(|(entry, availability)| {
             let failure_rate = health.failure_rate(&entry.id, now);
             let calls_in_flight = health.in_flight(&entry.id);
             let cooldown_ends_at = cooldowns.ends_at(&entry.id, now).unwrap_or_default();
@@ -102,7 +102,7 @@
             };
             (id, dump)
         });
-        dumped.collect()
+        dumps.collect()
     };
     let (calls_held, calls_held_so_far) = gateway.held.counts();
     Json(StateDump {
@@ -148,14 +148,14 @@
 fn suspects(gateway: &State<Arc<Gateway>>) -> Json<Vec<SuspectDump>> {
     let now = gateway.now();
     let suspects = gateway.suspects.lock();
-    let dumped = suspects.reports(now).map(|report| SuspectDump {
+    let dumps = suspects.reports(now).map(|report| SuspectDump {
         fingerprint: report.fingerprint,
         verdict: suspects.verdict(report.fingerprint, now),
         innocent: report.innocent,
         crashes: report.crashes.len(),
         last_crash_age_ms: millis(report.last_crash_age),
     });
-    Json(dumped.collect())
+    Json(dumps.collect())
 }
 
 /// Releases a crash suspect: all instances reset their evidence against it.
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -1,9 +1,9 @@
 //! Rate-limit permits for endpoints that announce a limit.
 //!
 //! Each request to such an endpoint needs a permit, issued by one instance per endpoint so that the
-//! sum over all instances stays within the limit. For engines the issuer is the owner of the service,
-//! which grants permits together with placements; for plain endpoints it is the live member with the
-//! highest weighted rendezvous hash. Endpoints without a limit need no permits.
+//! sum over all instances stays within the limit. For engines the issuer is the owner of the
+//! service, which grants permits together with placements; for plain endpoints it is the live
+//! member with the highest weighted rendezvous hash. Endpoints without a limit need no permits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,15 +26,16 @@
 
 /// Timeout for a request to the issuer, which is normally reachable within milliseconds.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
-/// Pause before the issuer is asked again after it did not answer, or considered another instance to
-/// be the issuer.
+/// Pause before the issuer is asked again after it did not answer, or considered another instance
+/// to be the issuer.
 const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Maximum wait for a permit that a running generation needs.
 const RUNNING_PERMIT_WAIT_MAX: Duration = Duration::from_millis(600);
 
 /// Known limits, and the permits that this instance issues and holds.
 ///
-/// No other lock is acquired while one of these is held, except for `limits` while `issuer` is held.
+/// No other lock is acquired while one of these is held, except for `limits` while `issuer` is
+/// held.
 pub(crate) struct EndpointPermits {
     clock: Arc<dyn Clock>,
     /// Limits on the sum of requests from all instances, as announced by endpoints.
@@ -127,8 +128,8 @@
         self.limits.lock().recent_updates(first, self.clock.now())
     }
 
-    /// Returns the limit of an endpoint on the sum of all instances, in requests per second, or `None`
-    /// if it announces none.
+    /// Returns the limit of an endpoint on the sum of all instances, in requests per second, or
+    /// `None` if it announces none.
     pub(super) fn limit_per_s(&self, endpoint: &str) -> Option<f64> {
         self.limits.lock().per_s(endpoint)
     }
@@ -172,8 +173,8 @@
 
     /// Consumes a permit; returns whether the request may be sent to the endpoint now.
     ///
-    /// This is checked right before sending, because a limit may have been announced after the endpoint
-    /// was selected, or the machine may have been suspended.
+    /// This is checked right before sending, because a limit may have been announced after the
+    /// endpoint was selected, or the machine may have been suspended.
     pub(super) fn try_consume(&self, endpoint: &str, mut permit: Permit) -> bool {
         // Consumed even if only the issuer knows of the limit.
         let expires_at = permit.expires_at.take();
@@ -261,7 +262,8 @@
 
     /// Waits for a permit, for at most [`RUNNING_PERMIT_WAIT_MAX`].
     ///
-    /// Used for generations that run at the endpoint or resume there, which are lost without a permit.
+    /// Used for generations that run at the endpoint or resume there, which are lost without a
+    /// permit.
     pub(super) async fn wait_for_permit(&self, service: &str, endpoint: &str) -> Option<Permit> {
         let until = self.now() + RUNNING_PERMIT_WAIT_MAX;
         loop {
--- a/src/gateway/work_counters.rs
+++ b/src/gateway/work_counters.rs
@@ -1,8 +1,8 @@
-//! Counters of the work that grows with the size of the site: requests of other instances, by kind, and
-//! calls to the store.
+//! Counters of the work that grows with the size of the site: requests of other instances, by kind,
+//! and calls to the store.
 //!
-//! They are exported as metrics and logged periodically, so that the cost of each mechanism over a day
-//! can be derived from the logs alone.
+//! They are exported as metrics and logged periodically, so that the cost of each mechanism over a
+//! day can be derived from the logs alone.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/tests/endpoint_signals.rs
+++ b/tests/endpoint_signals.rs
@@ -1,19 +1,20 @@
-//! Signals that endpoints send about themselves in response headers: draining, cooldown, rate limit.
+//! Signals that endpoints send about themselves in response headers: draining, cooldown, rate
+//! limit.
 //!
 //! Guards against ignoring these signals:
-//! - While the store was unavailable for twelve seconds, an endpoint announced in each response that it
-//!   was draining. Nine instances still sent it 26 calls in five seconds, two of them more than two
-//!   seconds after the same instance had forwarded such a response.
-//! - On another site, four engines refused every generation and requested a cooldown of three seconds.
-//!   One instance sent one of them three more requests within that time, and callers were refused
-//!   because the retry budget was exhausted (`NoRoom`, "engine refused: 503; retry budget spent"),
-//!   while eight engines had capacity.
+//! - While the store was unavailable for twelve seconds, an endpoint announced in each response
+//!   that it was draining. Nine instances still sent it 26 calls in five seconds, two of them more
+//!   than two seconds after the same instance had forwarded such a response.
+//! - On another site, four engines refused every generation and requested a cooldown of three
+//!   seconds. One instance sent one of them three more requests within that time, and callers were
+//!   refused because the retry budget was exhausted (`NoRoom`, "engine refused: 503; retry budget
+//!   spent"), while eight engines had capacity.
 //!
-//! Instances read eight facts from a response head and dropped every other header without a log line,
-//! so that an endpoint's state only counted if it also came with the endpoint list: in those five
-//! seconds no instance logged the endpoint as leaving. A single instance with an unchanging list, where
-//! nothing can overwrite the signal, shows the fault too: it sent 11 requests within a cooldown, where
-//! two are allowed.
+//! Instances read eight facts from a response head and dropped every other header without a log
+//! line, so that an endpoint's state only counted if it also came with the endpoint list: in those
+//! five seconds no instance logged the endpoint as leaving. A single instance with an unchanging
+//! list, where nothing can overwrite the signal, shows the fault too: it sent 11 requests within a
+//! cooldown, where two are allowed.
 
 mod support;
 
@@ -29,13 +30,13 @@
 use larkwick::standin::site::store::StoreMood;
 use support::site::{Instance, RoutedSite, answered, event_numbers, until};
 
-/// Number of calls that shows how calls are distributed. With two available endpoints, the probability
-/// that all calls go to the same one is below one in a billion.
+/// Number of calls that shows how calls are distributed. With two available endpoints, the
+/// probability that all calls go to the same one is below one in a billion.
 const CALLS: usize = 40;
 /// Cooldown in seconds, far longer than a test runs.
 const LONG_COOLDOWN: &str = "600";
-/// Maximum number of requests from one instance to an endpoint that requested a cooldown, including the
-/// one that it refused.
+/// Maximum number of requests from one instance to an endpoint that requested a cooldown, including
+/// the one that it refused.
 const REQUESTS_MAX: usize = 3;
 
 async fn call_all(instance: &Instance, name: &str) {
@@ -170,8 +171,8 @@
     );
 }
 
-/// A call waits for a cooldown that ends early enough for the call to meet its latency objective of one
-/// second, so that the caller need not retry.
+/// A call waits for a cooldown that ends early enough for the call to meet its latency objective of
+/// one second, so that the caller need not retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn cooldown_of_all_ending_within_the_objective_waited_for() {
     let site = RoutedSite::start(1).await;
@@ -271,8 +272,8 @@
     assert!(!is_retry_after_forwarded(503), "meant for the proxy");
 }
 
-/// Generations that run on an engine that announces that it drains are moved to another engine, as if
-/// the list had reported that it leaves.
+/// Generations that run on an engine that announces that it drains are moved to another engine, as
+/// if the list had reported that it leaves.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_engine_running_generations_moved() {
     let site = RoutedSite::start(0).await;
@@ -309,8 +310,8 @@
     );
 }
 
-/// While the endpoint list is unavailable, replacements for the draining endpoints are unknown, so that
-/// callers need not retry before it is back.
+/// While the endpoint list is unavailable, replacements for the draining endpoints are unknown, so
+/// that callers need not retry before it is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_all_while_the_list_is_unavailable_refused_at_once() {
     let site = RoutedSite::start(1).await;
@@ -346,8 +347,8 @@
         .collect()
 }
 
-/// An unknown header is logged whichever response it came with: of a call, a refusal, a generation or
-/// the store. Reports and move orders are decoded by the same function.
+/// An unknown header is logged whichever response it came with: of a call, a refusal, a generation
+/// or the store. Reports and move orders are decoded by the same function.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_header_unknown_logged_once_for_any_response() {
     let site = RoutedSite::start(2).await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,13 +1,13 @@
 //! Rate limits that endpoints announce for the sum of requests from all instances.
 //!
-//! Guards against exceeding such a limit. Two of three plain endpoints announced 2.9 and 3 requests per
-//! second, and received 31 and 35 in the four seconds that began three seconds later, where 22 and 23
-//! are allowed. All of the six instances had forwarded responses with the header, but none read it, and
-//! other site-wide bounds were kept by each instance alone, with an estimated share.
+//! Guards against exceeding such a limit. Two of three plain endpoints announced 2.9 and 3 requests
+//! per second, and received 31 and 35 in the four seconds that began three seconds later, where 22
+//! and 23 are allowed. All of the six instances had forwarded responses with the header, but none
+//! read it, and other site-wide bounds were kept by each instance alone, with an estimated share.
 //!
 //! A limit per instance is not enough: no instance sent more than 9 of those 31 requests, below the
-//! 11.6 that the endpoint announced for four seconds. The sum has to be limited. Without that, the four
-//! instances of these tests sent 42 requests where 20 are allowed.
+//! 11.6 that the endpoint announced for four seconds. The sum has to be limited. Without that, the
+//! four instances of these tests sent 42 requests where 20 are allowed.
 
 mod support;
 
@@ -21,15 +21,15 @@
 /// The limit that the endpoints announce, as a number and as the header value.
 const LIMIT_PER_S: f64 = 2.5;
 const LIMIT: &str = "2.5";
-/// Requests are counted over every span of this length, as users do,
+/// Requests are counted over every span of this length, as users do.
 const SPAN: Duration = Duration::from_secs(4);
-/// starting this long after the limit was first announced.
+/// Counting starts this long after the limit was first announced.
 const COUNTING_DELAY: Duration = Duration::from_secs(3);
 /// How long callers send requests.
 const CALL_PERIOD: Duration = Duration::from_secs(9);
 
-/// Returns how many requests may reach an endpoint within a span, as users count: one and a half times
-/// its limit, plus five.
+/// Returns how many requests may reach an endpoint within a span, as users count: one and a half
+/// times its limit, plus five.
 fn max_requests(limit_per_s: f64) -> f64 {
     1.5 * limit_per_s * SPAN.as_secs_f64() + 5.0
 }
@@ -46,7 +46,8 @@
     instances
 }
 
-/// Sends requests to the instances in turn for [`CALL_PERIOD`], without waiting for earlier responses.
+/// Sends requests to the instances in turn for [`CALL_PERIOD`], without waiting for earlier
+/// responses.
 async fn call_steadily(
     instances: &[Instance],
     pause: Duration,
@@ -131,7 +132,8 @@
     );
 }
 
-/// Every endpoint has a limit: excess requests are refused at once without running, with a retry time.
+/// Every endpoint has a limit: excess requests are refused at once without running, with a retry
+/// time.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_announced_by_all_excess_refused_at_once() {
     let site = RoutedSite::start(2).await;
@@ -196,7 +198,8 @@
     assert!(app.requests() > before);
 }
 
-/// The instances are suspended one after the other, and some are killed, whichever issues the permits.
+/// The instances are suspended one after the other, and some are killed, whichever issues the
+/// permits.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_issuers_suspended_and_killed_still_kept() {
     let site = RoutedSite::start(2).await;
@@ -232,7 +235,8 @@
     }
 }
 
-/// Only one instance sees the limit in responses; the others learn of its start and end from members.
+/// Only one instance sees the limit in responses; the others learn of its start and end from
+/// members.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_seen_by_one_instance_known_to_all() {
     let site = RoutedSite::start(2).await;
