--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -58,7 +58,7 @@
 
 /// Handles a call for a generation and returns the response that streams its events.
 pub(crate) async fn handle_call(call: Call) -> Response<ResponseBody> {
-    call.gateway.count_first_send(&call.service);
+    call.gateway.record_first_attempt(&call.service);
     let call = Arc::new(call);
     match start_generation(&call).await {
         Ok(started) => relay::forward_response(call, started),
@@ -221,7 +221,7 @@
                 break;
             }
         }
-        if attempts.sends > 0 && !gateway.take_retry(&call.service) {
+        if attempts.sends > 0 && !gateway.try_spend_retry(&call.service) {
             reason.push_str("; retry budget spent");
             break;
         }
@@ -339,7 +339,7 @@
 fn capacity_wait(call: &Call, attempts: &EngineAttempts) -> Duration {
     let typical = call
         .gateway
-        .pace(&call.service, INITIAL_FIRST_EVENT_TIME)
+        .response_time(&call.service, INITIAL_FIRST_EVENT_TIME)
         .typical();
     let budget = if attempts.runs > 0 {
         call.time_left()
@@ -384,7 +384,9 @@
     let left = call.time_left();
     let can_try_another = call.route.resumable && attempts.runs + 1 < call.route.attempts_max;
     if can_try_another {
-        let pace = call.gateway.pace(&call.service, INITIAL_FIRST_EVENT_TIME);
+        let pace = call
+            .gateway
+            .response_time(&call.service, INITIAL_FIRST_EVENT_TIME);
         left.saturating_sub(pace.typical())
     } else {
         left
@@ -485,8 +487,8 @@
         connection_refused: matches!(error, ConnectError::Refused(_)),
     })?;
     let permit = match counted_at {
-        Some(_) => Some(gateway.permit_of_place(granted, counted_at)),
-        None => gateway.permit(&call.service, granted).await,
+        Some(_) => Some(gateway.permit_for_placement(granted, counted_at)),
+        None => gateway.request_permit(&call.service, granted).await,
     };
     let permit = permit.ok_or(AttemptFailure::RateLimited)?;
     check_before_send(call, &endpoint, restricted)?;
@@ -554,7 +556,7 @@
         return Err(AttemptFailure::ErrorResponse(Box::new(attempt_response)));
     }
     let elapsed = gateway.now().saturating_sub(sent_at);
-    gateway.note_pace(&call.service, INITIAL_FIRST_EVENT_TIME, elapsed);
+    gateway.record_response_time(&call.service, INITIAL_FIRST_EVENT_TIME, elapsed);
     Ok(attempt_response)
 }
 
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -128,7 +128,7 @@
     let request = engine::build_move_request(source.address, &run.demand.run, target.address, stop)
         .map_err(|error| error.to_string())?;
     let call = async {
-        let permit = gateway.permit_soon(&source.service, &source.id).await;
+        let permit = gateway.wait_for_permit(&source.service, &source.id).await;
         let permit = permit.ok_or("the engine takes no more for now")?;
         let upstream = &gateway.upstream;
         let response = upstream.send_control_request(source, request, RESPONSE_MAX_BYTES, permit);
--- a/src/gateway/run_reports.rs
+++ b/src/gateway/run_reports.rs
@@ -60,8 +60,8 @@
         return REPORT_INTERVAL;
     }
     let count = |instances: usize| u32::try_from(instances).unwrap_or(u32::MAX);
-    let factor =
-        f64::from(count(gateway.instances())) / f64::from(count(REPORT_INTERVAL_INSTANCES));
+    let factor = f64::from(count(gateway.reachable_instance_count()))
+        / f64::from(count(REPORT_INTERVAL_INSTANCES));
     REPORT_INTERVAL
         .mul_f64(factor.max(1.0))
         .min(REPORT_INTERVAL_MAX)
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -23,7 +23,7 @@
     MemberEntry, SitePage, SiteStore, StoreError, StoreResult, StoredSuspect, Subject,
 };
 use super::subject_cache::SubjectCache;
-use super::tally::{Tally, Work};
+use super::work_counters::{WorkCounters, WorkKind};
 use crate::kernel::clock::{Clock, millis};
 use crate::kernel::fingerprint::RequestFingerprint;
 use crate::kernel::freshness::Freshness;
@@ -102,7 +102,7 @@
     peers: Arc<PeerClients>,
     live: Arc<LiveMembers>,
     freshness: Freshness,
-    tally: Arc<Tally>,
+    tally: Arc<WorkCounters>,
     /// The latest known era of the store.
     era: AtomicU64,
     shards: [SubjectShard; 3],
@@ -118,7 +118,7 @@
         peers: Arc<PeerClients>,
         live: Arc<LiveMembers>,
         freshness: Freshness,
-        tally: Arc<Tally>,
+        tally: Arc<WorkCounters>,
     ) -> Self {
         Self {
             store,
@@ -367,7 +367,7 @@
 
     /// Returns the store itself and counts a call to it.
     fn store(&self) -> &dyn SiteStore {
-        self.tally.count(Work::StoreCall);
+        self.tally.increment(WorkKind::StoreCall);
         self.store.as_ref()
     }
 
--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -98,7 +98,7 @@
     loop {
         let waited = gateway.now().saturating_sub(started_at);
         let is_listed = !gateway.store.has_no_data(Subject::Members);
-        let has_met_member = waited >= MEMBERS_LIST_WAIT && gateway.instances_live() >= 2;
+        let has_met_member = waited >= MEMBERS_LIST_WAIT && gateway.live_instance_count() >= 2;
         if is_listed || has_met_member || waited >= MEMBERS_WAIT_MAX {
             return;
         }
@@ -168,7 +168,7 @@
         }
         apply_records(gateway, subject, page.records);
         if subject == Subject::Members {
-            heartbeat::beat_round(gateway);
+            heartbeat::send_heartbeats(gateway);
         }
         return;
     }
@@ -178,7 +178,7 @@
     }
     record_list_recovery(gateway);
     let changes = gateway.fleet.lock().apply_full_list(update, gateway.now());
-    gateway.fleet_read();
+    gateway.mark_fleet_loaded();
     log_fleet_changes(&changes);
 }
 
@@ -187,7 +187,7 @@
 /// than the last write.
 fn rewrite_missing_own_records(gateway: &Gateway, page: &SitePage) {
     let era = page.next.era();
-    let before = gateway.own_records_era.lock().replace(era);
+    let before = gateway.own_records_checked_era.lock().replace(era);
     if before.is_none_or(|before| before >= era) {
         return;
     }
@@ -198,7 +198,7 @@
         _ => false,
     };
     if !records.iter().any(is_own) {
-        gateway.entry_lost.notify_one();
+        gateway.own_entry_lost.notify_one();
     }
     let stored = records.iter().filter_map(|record| match record {
         SiteRecord::Suspect(stored) => Some(stored.fingerprint()),
@@ -260,14 +260,14 @@
 
 fn apply_record(gateway: &Gateway, record: SiteRecord) {
     match record {
-        SiteRecord::Configuration(config) => gateway.take_config(config, "store"),
+        SiteRecord::Configuration(config) => gateway.apply_config(config, "store"),
         SiteRecord::Member(entry) => apply_member(gateway, entry),
         SiteRecord::Suspect(stored) => gateway.merge_stored_suspect(&stored),
         SiteRecord::SuspectGone(fingerprint) => {
             gateway.suspects.lock().mark_not_stored(fingerprint);
         }
-        SiteRecord::HallOrder(order) => gateway.order_hall(&order),
-        SiteRecord::EvacuatedHalls(halls) => gateway.take_halls(&halls, "store"),
+        SiteRecord::HallOrder(order) => gateway.apply_hall_order(&order),
+        SiteRecord::EvacuatedHalls(halls) => gateway.merge_evacuated_halls(&halls, "store"),
         SiteRecord::Unreadable { key, why } => {
             log_unreadable("record not read; what was known stays", &key, &why);
         }
@@ -305,7 +305,7 @@
         .members
         .lock()
         .apply_list(&[ListedPeer { status }], own_name, now);
-    gateway.take_member_entry(entry);
+    gateway.record_member_entry(entry);
 }
 
 /// Logs endpoints that joined or are leaving.
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -18,7 +18,7 @@
 
 use super::names::{STORE_APPEND_PATH, STORE_NEWEST_PATH, STORE_READ_PATH};
 use super::{endpoint_entries, names, operator_config, unknown_names};
-use crate::gateway::parts;
+use crate::gateway::chunked_pages;
 use crate::gateway::site_store::{
     MemberEntry, SitePage, SiteRecord, SiteStore, SiteStorePlugin, StoreError, StoreResult,
     StoredSuspect, Subject,
@@ -269,7 +269,8 @@
 /// Reads the body of a response. There is no limit on the total time as long as bytes keep
 /// arriving.
 async fn read_body(response: reqwest::Response) -> StoreResult<Bytes> {
-    let body = parts::collect(response.bytes_stream(), parts::SILENCE_MAX).await;
+    let body =
+        chunked_pages::collect_chunks(response.bytes_stream(), chunked_pages::CHUNK_TIMEOUT).await;
     body.map_err(|fault| StoreError::NoAnswer(fault.to_string()))
 }
 
