--- a/src/bin/larkwick-standin/main.rs
+++ b/src/bin/larkwick-standin/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the systems around larkwick, as processes for tests and trials.
+//! Runs the stand-ins of the systems around larkwick as processes, for tests and trials.
 
 mod flags;
 
@@ -10,7 +10,7 @@
 
 fn main() -> ExitCode {
     let flags = flags::LarkwickStandin::from_env_or_exit();
-    match run(flags) {
+    match run_standin(flags) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("larkwick-standin: {error:#}");
@@ -20,7 +20,7 @@
 }
 
 #[tokio::main]
-async fn run(flags: flags::LarkwickStandin) -> anyhow::Result<()> {
+async fn run_standin(flags: flags::LarkwickStandin) -> anyhow::Result<()> {
     use flags::LarkwickStandinCmd as Cmd;
     let (address, control) = match flags.subcommand {
         Cmd::Platform(platform) => run_platform(platform).await?,
@@ -32,6 +32,7 @@
     Ok(())
 }
 
+/// Addresses of the server and of its control port.
 type Addresses = (std::net::SocketAddr, std::net::SocketAddr);
 
 async fn run_platform(flags: flags::Platform) -> anyhow::Result<Addresses> {
--- a/src/daemon/app.rs
+++ b/src/daemon/app.rs
@@ -17,7 +17,7 @@
 use crate::peer::generated::peer_server::PeerServer;
 use crate::peer::server::PeerService;
 use crate::settings::Settings;
-use crate::standin::server::{Server, rocket_at, start, stop_all};
+use crate::standin::server::{Server, build_rocket, start_server, stop_servers};
 use crate::{caller, operator};
 
 const MESSAGE_MAX_BYTES: usize = 64 << 20;
@@ -80,14 +80,14 @@
             Arc::new(SystemClock::default()),
         ));
         let settings = &node.settings;
-        let rocket = rocket_at(settings.caller_address).manage(node.clone());
-        let callers = start(caller::mount(rocket))
+        let rocket = build_rocket(settings.caller_address).manage(node.clone());
+        let callers = start_server(caller::mount(rocket))
             .await
             .context("caller_address")?;
-        let rocket = rocket_at(settings.operator_address)
+        let rocket = build_rocket(settings.operator_address)
             .manage(node.clone())
             .manage(metrics);
-        let operators = start(operator::mount(rocket))
+        let operators = start_server(operator::mount(rocket))
             .await
             .context("operator_address")?;
         let peers = TcpListener::bind(settings.peer_address)
@@ -177,7 +177,7 @@
         for one in &self.loops {
             one.abort();
         }
-        stop_all(self.servers).await;
+        stop_servers(self.servers).await;
     }
 }
 
--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -25,7 +25,7 @@
 use crate::kernel::membership::LivenessCounts;
 use crate::peer::generated::site_server::SiteServer;
 use crate::settings::Settings;
-use crate::standin::server::{Server, rocket_at, start, stop_all};
+use crate::standin::server::{Server, build_rocket, start_server, stop_servers};
 
 /// How often it is looked whether an endpoint that is doubted has to count as gone.
 const SETTLE_EVERY: Duration = Duration::from_millis(200);
@@ -80,10 +80,10 @@
         let store = site_store::connect(&routing.store_plugin, routing.store_address)?;
         let metrics = metrics_handle()?;
         let gateway = Arc::new(Gateway::new(settings, routing.clone(), store, clock));
-        let rocket = rocket_at(gateway.settings.operator_address)
+        let rocket = build_rocket(gateway.settings.operator_address)
             .manage(gateway.clone())
             .manage(metrics);
-        let operators = start(operators::mount(rocket)).await;
+        let operators = start_server(operators::mount(rocket)).await;
         let operators = operators.context("operator_address")?;
         let operator_address = operators.address;
         let mut app = Self {
@@ -222,7 +222,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        stop_all(self.servers).await;
+        stop_servers(self.servers).await;
     }
 }
 
--- a/src/log_service/embedded.rs
+++ b/src/log_service/embedded.rs
@@ -10,7 +10,7 @@
     PlatformResult,
 };
 use crate::kernel::clock::SystemClock;
-use crate::standin::platform::{PlatformCore, Refusal};
+use crate::standin::platform::{CallError, PlatformCore};
 
 inventory::submit! {
     PlatformPlugin {
@@ -31,11 +31,11 @@
     }
 }
 
-impl From<Refusal> for PlatformError {
-    fn from(refusal: Refusal) -> Self {
+impl From<CallError> for PlatformError {
+    fn from(refusal: CallError) -> Self {
         match refusal {
-            Refusal::ReplyLost => Self::NoAnswer(refusal.to_string()),
-            Refusal::Outage | Refusal::TooFast => Self::Refused(refusal.to_string()),
+            CallError::ReplyLost => Self::NoAnswer(refusal.to_string()),
+            CallError::Outage | CallError::RateLimited => Self::Refused(refusal.to_string()),
         }
     }
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,5 +1,7 @@
-//! Stand-in engine: the core behind the endpoint protocol, with lagged load reports, late cache events with gaps, fenced orders
-//! and faults.
+//! Stand-in model engine: serves the simulated engine over the endpoint protocol.
+//!
+//! Load reports can lag, cache events can be lost, orders are fenced, and faults are set through a
+//! control port.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,8 +19,8 @@
 use uuid::Uuid;
 
 use super::announce;
-use super::engine_core::{Ended, EngineCore, EngineSpec, Progress, token_text};
-use super::server::{Server, rocket_at, start, stop_all};
+use super::engine_core::{EngineCore, EngineSpec, Progress, SequenceEnd, token_text};
+use super::server::{Server, build_rocket, start_server, stop_servers};
 use crate::endpoint::protocol::{
     ATTEMPT_ID_HEADER, CacheEvent, EngineEvent, GenerationRequest, NOT_ADMITTED_HEADER, Order,
     OrderStatus, Started,
@@ -29,50 +31,54 @@
 /// Settings of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// Name; that of the published endpoint.
+    /// Name of the published endpoint.
     pub name: String,
-    /// Address of the endpoint protocol.
+    /// Listen address of the endpoint protocol.
     pub address: SocketAddr,
-    /// Address of the control port.
+    /// Listen address of the control port.
     pub control: SocketAddr,
-    /// Platform to announce to and to load weights from.
+    /// Address of the platform that receives announcements and serves model weights.
     pub platform: Option<String>,
-    /// Speed and size.
+    /// Simulated speed and memory size.
     pub spec: EngineSpec,
-    /// Models loaded from the start.
+    /// Models that are loaded at startup.
     pub models: Vec<LoadedModel>,
-    /// Whether older fences are refused.
+    /// Whether orders with an older fence are refused.
     pub checks_fence: bool,
 }
 
-/// Faults, changed through the control port.
+/// Injected faults, set through the control port.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a fault of its own")]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "the faults are independent of each other"
+)]
 pub struct EngineFaults {
-    /// Load reports show what was true this long ago.
+    /// Age of the load reports that are returned, in milliseconds.
     pub load_lag_ms: u64,
-    /// Every n-th token is sent twice.
+    /// Sends every n-th token twice; 0 disables the fault.
     pub duplicate_every: u32,
-    /// Every n-th token is left out, once per stream.
+    /// Omits every n-th token of a stream, unless the stream is resumed at it; 0 disables the
+    /// fault.
     pub skip_every: u32,
-    /// Connections end without a final event after this many tokens.
+    /// Ends each connection without a final event after this many tokens; 0 disables the fault.
     pub cut_after_tokens: u32,
-    /// `Started` echoes a wrong attempt id.
+    /// Returns a wrong attempt id in the `Started` event.
     pub cross_answers: bool,
-    /// No step is made.
+    /// Stops decoding.
     pub stalled: bool,
-    /// New generations are refused.
+    /// Refuses new generations.
     pub refuse: bool,
-    /// The engine says that it is leaving.
+    /// Reports that the engine is draining, and refuses new generations.
     pub leaving: bool,
-    /// Every n-th cache event is lost.
+    /// Loses every n-th cache event; 0 disables the fault.
     pub lose_events_every: u64,
 }
 
 #[derive(Debug, Clone)]
 struct TimedReport {
-    at: Instant,
+    recorded_at: Instant,
     report: LoadReport,
 }
 
@@ -82,13 +88,13 @@
     faults: EngineFaults,
     models: Vec<LoadedModel>,
     order: Option<Order>,
-    newest_fence: u64,
+    latest_fence: u64,
     reports: VecDeque<TimedReport>,
-    /// Generations accepted, for tests.
+    /// Number of accepted generations, read by tests.
     started_total: u64,
 }
 
-/// The engine behind its server.
+/// State of a stand-in engine, shared by its request handlers.
 pub struct Engine {
     incarnation: Incarnation,
     settings: EngineSettings,
@@ -96,8 +102,8 @@
 }
 
 impl Engine {
-    fn report(&self, inner: &Inner) -> LoadReport {
-        let counts = inner.core.counts();
+    fn load_report(&self, inner: &Inner) -> LoadReport {
+        let counts = inner.core.load_counts();
         LoadReport {
             incarnation: self.incarnation.id,
             leaving: inner.faults.leaving,
@@ -110,24 +116,27 @@
         }
     }
 
-    /// Counts now, without lag: for benchmarks.
+    /// Returns the current load without the configured lag, for benchmarks.
     #[must_use]
-    pub fn report_now(&self) -> LoadReport {
-        self.report(&self.inner.lock())
+    pub fn current_load(&self) -> LoadReport {
+        self.load_report(&self.inner.lock())
     }
 
-    /// Replaces the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.inner.lock().faults = faults;
     }
 
     fn step(&self) -> Duration {
-        const REPORTS_KEPT: usize = 4_096;
+        const REPORTS_MAX: usize = 4_096;
         let mut inner = self.inner.lock();
-        let report = self.report(&inner);
-        let at = Instant::now();
-        inner.reports.push_back(TimedReport { at, report });
-        if inner.reports.len() > REPORTS_KEPT {
+        let report = self.load_report(&inner);
+        let recorded_at = Instant::now();
+        inner.reports.push_back(TimedReport {
+            recorded_at,
+            report,
+        });
+        if inner.reports.len() > REPORTS_MAX {
             inner.reports.pop_front();
         }
         if inner.faults.stalled {
@@ -141,7 +150,7 @@
         loop {
             next += self.step();
             let now = tokio::time::Instant::now();
-            // Steps that are late are not made up for all at once.
+            // At most 20 ms of lag are caught up, so that a delay does not cause a burst of steps.
             next = next.max(now.checked_sub(Duration::from_millis(20)).unwrap_or(now));
             tokio::time::sleep_until(next).await;
         }
@@ -158,7 +167,7 @@
                 let url = format!("http://{platform}/weights?bytes={bytes}");
                 let response = client.post(url).send().await;
                 if let Ok(response) = response
-                    && let Ok(transfer) = response.json::<super::platform::Transfer>().await
+                    && let Ok(transfer) = response.json::<super::platform::WeightTransfer>().await
                 {
                     tokio::time::sleep(Duration::from_millis(transfer.takes_ms)).await;
                 }
@@ -177,7 +186,7 @@
 
     fn order_status(inner: &Inner) -> OrderStatus {
         OrderStatus {
-            fence: inner.newest_fence,
+            fence: inner.latest_fence,
             desired: inner
                 .order
                 .as_ref()
@@ -188,9 +197,9 @@
     }
 }
 
-type Shared = State<Arc<Engine>>;
+type EngineState = State<Arc<Engine>>;
 
-/// The attempt id of a request; nil where it is missing.
+/// Attempt id of a request; the nil id if the header is missing or invalid.
 #[derive(Clone, Copy)]
 struct AttemptId(Uuid);
 
@@ -212,30 +221,32 @@
 }
 
 #[derive(Responder)]
-enum Answer<S> {
+enum EngineResponse<S> {
     Refused(NotAdmitted),
-    Missing(Status),
+    NotFound(Status),
     Events(ByteStream<S>),
 }
 
-/// Counts a reader for as long as it lives.
-struct Reading {
+/// A reader of a generation's event stream.
+///
+/// It subscribes to the progress channel, so that the generation's readers can be counted.
+struct StreamReader {
     engine: Arc<Engine>,
     number: u64,
     progress: tokio::sync::watch::Receiver<Progress>,
     started: Started,
     request: GenerationRequest,
-    next_index: u32,
+    first_index: u32,
 }
 
-fn line(event: &EngineEvent) -> Vec<u8> {
+fn encode_line(event: &EngineEvent) -> Vec<u8> {
     let mut line = serde_json::to_vec(event).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-impl Reading {
-    fn new(engine: &Arc<Engine>, number: u64, next_index: u32, inner: &Inner) -> Option<Self> {
+impl StreamReader {
+    fn new(engine: &Arc<Engine>, number: u64, first_index: u32, inner: &Inner) -> Option<Self> {
         let sequence = inner.core.sequence(number)?;
         let request = sequence.request.clone();
         let attempt_id = if inner.faults.cross_answers {
@@ -259,41 +270,41 @@
             progress: sequence.progress.subscribe(),
             started,
             request,
-            next_index,
+            first_index,
         })
     }
 
     fn token_lines(&self, index: u32, faults: &EngineFaults) -> Vec<u8> {
-        let hit = |every: u32| every > 0 && (index + 1).is_multiple_of(every);
-        // A token left out comes when the stream is resumed from it.
-        if hit(faults.skip_every) && index != self.next_index_at_start() {
+        let is_nth = |every: u32| every > 0 && (index + 1).is_multiple_of(every);
+        // An omitted token is sent when the stream is resumed at it.
+        if is_nth(faults.skip_every) && index != self.requested_index() {
             return Vec::new();
         }
         let text = token_text(&self.request, index);
-        let mut lines = line(&EngineEvent::Token { index, text });
-        if hit(faults.duplicate_every) {
+        let mut lines = encode_line(&EngineEvent::Token { index, text });
+        if is_nth(faults.duplicate_every) {
             lines.extend_from_within(..);
         }
         lines
     }
 
-    const fn next_index_at_start(&self) -> u32 {
-        self.next_index
+    const fn requested_index(&self) -> u32 {
+        self.first_index
     }
 
     fn events(mut self) -> impl Stream<Item = Vec<u8>> {
         rocket::async_stream::stream! {
-            yield line(&EngineEvent::Started(self.started.clone()));
-            let mut index = self.next_index;
+            yield encode_line(&EngineEvent::Started(self.started.clone()));
+            let mut index = self.first_index;
             loop {
                 let progress = *self.progress.borrow_and_update();
                 let faults = self.engine.inner.lock().faults.clone();
                 let mut lines = Vec::new();
                 let mut cut = false;
-                while index < progress.made_tokens && !cut {
+                while index < progress.generated_tokens && !cut {
                     lines.extend(self.token_lines(index, &faults));
                     index += 1;
-                    cut = faults.cut_after_tokens > 0 && index - self.next_index >= faults.cut_after_tokens;
+                    cut = faults.cut_after_tokens > 0 && index - self.first_index >= faults.cut_after_tokens;
                 }
                 if !lines.is_empty() {
                     yield lines;
@@ -302,12 +313,12 @@
                     break;
                 }
                 match progress.ended {
-                    Some(Ended::Done(reason)) => {
-                        yield line(&EngineEvent::Done { reason, tokens: progress.made_tokens });
+                    Some(SequenceEnd::Done(reason)) => {
+                        yield encode_line(&EngineEvent::Done { reason, tokens: progress.generated_tokens });
                         break;
                     }
-                    Some(Ended::Cancelled) => {
-                        yield line(&EngineEvent::Failed { message: "cancelled".to_owned() });
+                    Some(SequenceEnd::Cancelled) => {
+                        yield encode_line(&EngineEvent::Failed { message: "cancelled".to_owned() });
                         break;
                     }
                     None => {}
@@ -319,7 +330,7 @@
         }
     }
 
-    fn readers(&self) -> usize {
+    fn reader_count(&self) -> usize {
         let inner = self.engine.inner.lock();
         let sequence = inner.core.sequence(self.number);
         sequence.map_or(0, |sequence| sequence.progress.receiver_count())
@@ -328,145 +339,150 @@
 
 #[post("/v1/generations", data = "<request>")]
 fn generate(
-    engine: &Shared,
+    engine: &EngineState,
     attempt: AttemptId,
     request: Json<GenerationRequest>,
-) -> Answer<impl Stream<Item = Vec<u8>> + use<>> {
+) -> EngineResponse<impl Stream<Item = Vec<u8>> + use<>> {
     let mut inner = engine.inner.lock();
-    let wanted = LoadedModel {
+    let model = LoadedModel {
         name: request.model.clone(),
         version: request.version.clone(),
     };
-    let holds = inner.models.contains(&wanted);
-    let refused = inner.faults.refuse || inner.faults.leaving || !holds;
-    let number = if refused {
+    let is_loaded = inner.models.contains(&model);
+    let is_refused = inner.faults.refuse || inner.faults.leaving || !is_loaded;
+    let number = if is_refused {
         None
     } else {
         inner.core.submit(request.into_inner())
     };
-    let reading = number.and_then(|number| Reading::new(engine, number, 0, &inner));
-    let Some(reading) = reading else {
-        return Answer::Refused(NotAdmitted {
+    let reader = number.and_then(|number| StreamReader::new(engine, number, 0, &inner));
+    let Some(reader) = reader else {
+        return EngineResponse::Refused(NotAdmitted {
             body: (),
             attempt: Header::new(NOT_ADMITTED_HEADER, attempt.0.to_string()),
         });
     };
     inner.started_total += 1;
-    Answer::Events(ByteStream(reading.events()))
+    EngineResponse::Events(ByteStream(reader.events()))
 }
 
 #[get("/v1/generations/<number>?<from>")]
-fn resume(engine: &Shared, number: u64, from: u32) -> Answer<impl Stream<Item = Vec<u8>> + use<>> {
-    let reading = Reading::new(engine, number, from, &engine.inner.lock());
-    match reading {
-        None => Answer::Missing(Status::NotFound),
-        Some(reading) => Answer::Events(ByteStream(reading.events())),
+fn resume(
+    engine: &EngineState,
+    number: u64,
+    from: u32,
+) -> EngineResponse<impl Stream<Item = Vec<u8>> + use<>> {
+    let reader = StreamReader::new(engine, number, from, &engine.inner.lock());
+    match reader {
+        None => EngineResponse::NotFound(Status::NotFound),
+        Some(reader) => EngineResponse::Events(ByteStream(reader.events())),
     }
 }
 
 #[delete("/v1/generations/<number>?<incarnation>&<unless_read>")]
-fn cancel(engine: &Shared, number: u64, incarnation: &str, unless_read: bool) -> Status {
+fn cancel(engine: &EngineState, number: u64, incarnation: &str, unless_read: bool) -> Status {
     if incarnation != engine.incarnation.id.to_string() {
         return Status::NotFound;
     }
-    let reading = Reading::new(engine, number, 0, &engine.inner.lock());
-    // The reader made here counts itself.
-    let read = reading.is_some_and(|reading| reading.readers() > 1);
-    if !(unless_read && read) {
+    let reader = StreamReader::new(engine, number, 0, &engine.inner.lock());
+    // `reader` itself is included in the count.
+    let is_read = reader.is_some_and(|reader| reader.reader_count() > 1);
+    if !(unless_read && is_read) {
         engine.inner.lock().core.cancel(number);
     }
     Status::NoContent
 }
 
 #[get("/v1/load")]
-fn load(engine: &Shared) -> Json<LoadReport> {
+fn load(engine: &EngineState) -> Json<LoadReport> {
     let inner = engine.inner.lock();
     let lag = Duration::from_millis(inner.faults.load_lag_ms);
     let lagged = inner
         .reports
         .iter()
         .rev()
-        .find(|timed| timed.at.elapsed() >= lag);
-    let mut report = lagged.map_or_else(|| engine.report(&inner), |timed| timed.report.clone());
+        .find(|timed| timed.recorded_at.elapsed() >= lag);
+    let mut report =
+        lagged.map_or_else(|| engine.load_report(&inner), |timed| timed.report.clone());
     report.leaving = inner.faults.leaving;
     report.models.clone_from(&inner.models);
     Json(report)
 }
 
 #[get("/v1/cache_events?<after>")]
-fn cache_events(engine: &Shared, after: u64) -> Json<Vec<CacheEvent>> {
+fn cache_events(engine: &EngineState, after: u64) -> Json<Vec<CacheEvent>> {
     let inner = engine.inner.lock();
-    let lost = inner.faults.lose_events_every;
-    let mut events = inner.core.events_after(after);
-    events.retain(|event| lost == 0 || !event.sequence.is_multiple_of(lost));
+    let lose_every = inner.faults.lose_events_every;
+    let mut events = inner.core.cache_events_after(after);
+    events.retain(|event| lose_every == 0 || !event.sequence.is_multiple_of(lose_every));
     Json(events)
 }
 
 #[post("/v1/orders", data = "<order>")]
-fn order(engine: &Shared, order: Json<Order>) -> (Status, Json<OrderStatus>) {
+fn order(engine: &EngineState, order: Json<Order>) -> (Status, Json<OrderStatus>) {
     let mut inner = engine.inner.lock();
-    if engine.settings.checks_fence && order.fence < inner.newest_fence {
+    if engine.settings.checks_fence && order.fence < inner.latest_fence {
         return (Status::Conflict, Json(Engine::order_status(&inner)));
     }
-    inner.newest_fence = order.fence;
-    let changed = inner.order.as_ref().map(|o| &o.models) != Some(&order.models);
-    if changed {
+    inner.latest_fence = order.fence;
+    let is_changed = inner.order.as_ref().map(|o| &o.models) != Some(&order.models);
+    if is_changed {
         inner.order = Some(order.0.clone());
         tokio::spawn(engine.inner().clone().load_models(order.into_inner()));
     }
     (Status::Ok, Json(Engine::order_status(&inner)))
 }
 
-/// Counters for tests.
+/// Counters that the control port returns, for tests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineCounters {
-    /// Generations accepted since the start.
+    /// Number of generations accepted since startup.
     pub started_total: u64,
-    /// Load now, without lag.
+    /// Current load, without the configured lag.
     pub load: LoadReport,
-    /// Orders.
+    /// Fence and models of the last order, and the loaded models.
     pub orders: OrderStatus,
 }
 
 #[get("/counters")]
-fn counters(engine: &Shared) -> Json<EngineCounters> {
+fn counters(engine: &EngineState) -> Json<EngineCounters> {
     let inner = engine.inner.lock();
     Json(EngineCounters {
         started_total: inner.started_total,
-        load: engine.report(&inner),
+        load: engine.load_report(&inner),
         orders: Engine::order_status(&inner),
     })
 }
 
 #[put("/faults", data = "<faults>")]
-fn set_faults(engine: &Shared, faults: Json<EngineFaults>) -> Status {
+fn set_faults(engine: &EngineState, faults: Json<EngineFaults>) -> Status {
     engine.set_faults(faults.into_inner());
     Status::NoContent
 }
 
-/// An engine that listens.
+/// A running stand-in engine.
 pub struct RunningEngine {
-    /// The endpoint protocol.
+    /// Server of the endpoint protocol.
     pub server: Server,
-    /// Faults and counters.
+    /// Server of the control port.
     pub control: Server,
-    /// The engine behind both.
+    /// State shared by both servers.
     pub engine: Arc<Engine>,
     steps: tokio::task::JoinHandle<()>,
 }
 
 impl RunningEngine {
-    /// Ends the engine; streams are cut.
+    /// Stops the engine and its servers; open streams are cut.
     pub async fn stop(self) {
         self.steps.abort();
-        stop_all(vec![self.server, self.control]).await;
+        stop_servers(vec![self.server, self.control]).await;
     }
 }
 
 /// Starts a stand-in engine.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// Fails if an address cannot be bound.
 pub async fn run(settings: EngineSettings) -> anyhow::Result<RunningEngine> {
     let engine = Arc::new(Engine {
         incarnation: Incarnation {
@@ -478,7 +494,7 @@
             faults: EngineFaults::default(),
             models: settings.models.clone(),
             order: None,
-            newest_fence: 0,
+            latest_fence: 0,
             reports: VecDeque::new(),
             started_total: 0,
         }),
@@ -486,15 +502,19 @@
     });
     let settings = &engine.settings;
     let protocol = routes![generate, resume, cancel, load, cache_events, order];
-    let rocket = rocket_at(settings.address).manage(engine.clone());
-    let server = start(rocket.mount("/", protocol)).await?;
-    let rocket = rocket_at(settings.control).manage(engine.clone());
-    let control = start(rocket.mount("/", routes![set_faults, counters])).await?;
+    let rocket = build_rocket(settings.address).manage(engine.clone());
+    let server = start_server(rocket.mount("/", protocol)).await?;
+    let rocket = build_rocket(settings.control).manage(engine.clone());
+    let control = start_server(rocket.mount("/", routes![set_faults, counters])).await?;
     let steps = tokio::spawn(engine.clone().run_steps());
     if let Some(platform) = settings.platform.clone() {
         let announced = engine.clone();
-        let leaving = move || announced.inner.lock().faults.leaving;
-        tokio::spawn(announce::run(platform, engine.incarnation.clone(), leaving));
+        let is_leaving = move || announced.inner.lock().faults.leaving;
+        tokio::spawn(announce::announce_periodically(
+            platform,
+            engine.incarnation.clone(),
+            is_leaving,
+        ));
     }
     Ok(RunningEngine {
         server,
--- a/src/standin/engine_core.rs
+++ b/src/standin/engine_core.rs
@@ -1,6 +1,7 @@
-//! Stand-in engine without its server: continuous batching over limited memory, preemption when full, priorities, a prefix cache.
+//! Simulated model engine without I/O: continuous batching, limited KV-cache memory, preemption,
+//! priorities and a prefix cache.
 //!
-//! Time passes in steps; each step decodes one token of every running sequence.
+//! Time advances in steps; each step decodes one token of every running sequence.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,31 +13,31 @@
 
 use crate::endpoint::protocol::{CacheEvent, FinishReason, GenerationRequest};
 
-/// Prompts that begin with this fix the output's length: `#length=250 ...`.
+/// Prefix of prompts that set the output length in tokens, as in `#length=250 ...`.
 const LENGTH_DIRECTIVE: &str = "#length=";
 const BYTES_PER_TOKEN: usize = 4;
-/// Finished generations that can still be resumed.
-const FINISHED_KEPT: usize = 2_000;
+/// Maximum number of finished generations that are retained for resumption.
+const FINISHED_MAX: usize = 2_000;
 
-/// Speed and size of a stand-in engine.
+/// Simulated speed and memory size of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSpec {
-    /// Memory, in tokens.
+    /// KV-cache capacity, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Sequences decoded at once.
+    /// Maximum number of sequences in the batch.
     pub batch_max: usize,
-    /// Generations that may wait inside the engine.
+    /// Maximum number of queued generations.
     pub waiting_max: usize,
-    /// Time of a step with an empty batch, in microseconds.
+    /// Duration of a step with an empty batch, in microseconds.
     pub step_us: u64,
-    /// Added per running sequence, in microseconds.
+    /// Duration added to a step per running sequence, in microseconds.
     pub step_per_sequence_us: u64,
-    /// Prompt tokens read per millisecond.
+    /// Prompt tokens prefilled per millisecond.
     pub prefill_tokens_per_ms: u64,
-    /// Prefixes that the cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     pub cached_prefixes: usize,
-    /// Median output length where the prompt does not fix it.
+    /// Median output length of prompts that do not set it.
     pub median_length_tokens: u32,
 }
 
@@ -55,76 +56,78 @@
     }
 }
 
-/// How far a generation is.
+/// Progress of a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Progress {
-    /// Tokens made.
-    pub made_tokens: u32,
-    /// Whether it has ended.
-    pub ended: Option<Ended>,
+    /// Number of tokens generated so far.
+    pub generated_tokens: u32,
+    /// How the generation ended; `None` while it runs or waits.
+    pub ended: Option<SequenceEnd>,
 }
 
 /// How a generation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// By itself or at its maximum.
+pub enum SequenceEnd {
+    /// Completed, either at its own length or at the maximum.
     Done(FinishReason),
-    /// By a cancel.
+    /// Cancelled by a request.
     Cancelled,
 }
 
-/// A generation of the engine.
+/// A generation in the engine.
 #[derive(Debug)]
 pub struct Sequence {
-    /// The engine's number.
+    /// Number assigned by the engine.
     pub number: u64,
-    /// What was asked.
+    /// The request.
     pub request: GenerationRequest,
-    /// Readers follow this.
+    /// Channel through which readers follow the progress.
     pub progress: watch::Sender<Progress>,
     length_tokens: u32,
 }
 
 impl Sequence {
-    /// Prompt, in tokens.
+    /// Returns the prompt's length in tokens.
     #[must_use]
     pub fn prompt_tokens(&self) -> u32 {
         prompt_tokens(&self.request.prompt)
     }
 
-    fn held_tokens(&self) -> u64 {
-        u64::from(self.prompt_tokens()) + u64::from(self.progress.borrow().made_tokens)
+    fn kv_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens()) + u64::from(self.progress.borrow().generated_tokens)
     }
 }
 
-/// Tokens of a prompt, as the stand-in counts them.
+/// Returns the length of a prompt in tokens, at four bytes a token rounded up.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> u32 {
     u32::try_from(prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-/// The text of one token: the same seed, version and index give the same text on every engine.
+/// Returns the text of one token.
+///
+/// It depends on model version, seed and index only, so that every engine generates the same text.
 #[must_use]
 pub fn token_text(request: &GenerationRequest, index: u32) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(request.version.as_bytes());
     hasher.update(&request.seed.to_le_bytes());
     hasher.update(&index.to_le_bytes());
-    let word = &hasher.finalize().to_hex()[..4];
-    format!(" {word}")
+    let digest = &hasher.finalize().to_hex()[..4];
+    format!(" {digest}")
 }
 
 fn output_length(request: &GenerationRequest, median_tokens: u32) -> u32 {
-    let fixed = request
+    let requested = request
         .prompt
         .strip_prefix(LENGTH_DIRECTIVE)
-        .and_then(|rest| {
-            let digits = rest.split(' ').next()?;
+        .and_then(|directive| {
+            let digits = directive.split(' ').next()?;
             digits.parse::<u32>().ok()
         });
-    fixed.unwrap_or_else(|| {
+    requested.unwrap_or_else(|| {
         let mut random = SmallRng::seed_from_u64(request.seed);
-        // A product of uniform factors is heavy-tailed enough for a demo.
+        // The product of uniform factors approximates the heavy tail of real output lengths.
         let spread: f64 = (0..4).map(|_| random.random_range(0.3..3.0)).product();
         #[expect(
             clippy::cast_possible_truncation,
@@ -136,27 +139,27 @@
     })
 }
 
-/// Counts for load reports.
+/// Load of the engine, as used in load reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Running sequences.
+pub struct LoadCounts {
+    /// Number of running sequences.
     pub running: u32,
-    /// Waiting sequences.
+    /// Number of waiting sequences.
     pub waiting: u32,
-    /// Memory in use, in tokens.
+    /// KV-cache memory in use, in tokens.
     pub kv_used_tokens: u64,
-    /// Preemptions since the start.
+    /// Number of preemptions since startup.
     pub preemptions_total: u64,
 }
 
-/// The engine's state.
+/// State of a simulated engine.
 #[derive(Debug)]
 pub struct EngineCore {
     spec: EngineSpec,
     next_number: u64,
-    /// In order of arrival.
+    /// Preempted sequences first, then new ones in order of arrival.
     waiting: VecDeque<Sequence>,
-    /// In order of arrival.
+    /// In order of admission.
     running: Vec<Sequence>,
     finished: BTreeMap<u64, Sequence>,
     prefixes: VecDeque<u64>,
@@ -165,10 +168,10 @@
     preemptions_total: u64,
 }
 
-const EVENTS_KEPT: usize = 1_000;
+const CACHE_EVENTS_MAX: usize = 1_000;
 
 impl EngineCore {
-    /// An idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         Self {
@@ -184,7 +187,9 @@
         }
     }
 
-    /// Takes a generation and gives its number; `None` where too many wait or it can never fit.
+    /// Queues a generation and returns its number.
+    ///
+    /// Returns `None` if the queue is full or the prompt exceeds the KV-cache capacity.
     pub fn submit(&mut self, request: GenerationRequest) -> Option<u64> {
         let prompt = u64::from(prompt_tokens(&request.prompt));
         if self.waiting.len() >= self.spec.waiting_max || prompt >= self.spec.kv_capacity_tokens {
@@ -192,32 +197,33 @@
         }
         let number = self.next_number;
         self.next_number += 1;
-        let wanted = output_length(&request, self.spec.median_length_tokens);
-        let room = u32::try_from(self.spec.kv_capacity_tokens - prompt).unwrap_or(u32::MAX);
+        let length = output_length(&request, self.spec.median_length_tokens);
+        let capacity = u32::try_from(self.spec.kv_capacity_tokens - prompt).unwrap_or(u32::MAX);
         self.waiting.push_back(Sequence {
             number,
-            length_tokens: wanted.min(request.max_tokens).min(room),
+            length_tokens: length.min(request.max_tokens).min(capacity),
             request,
             progress: watch::Sender::new(Progress::default()),
         });
         Some(number)
     }
 
-    /// A generation that can be read.
+    /// Returns a running, waiting or retained finished generation.
     #[must_use]
     pub fn sequence(&self, number: u64) -> Option<&Sequence> {
-        let live = self.running.iter().chain(&self.waiting);
-        live.into_iter()
+        let unfinished = self.running.iter().chain(&self.waiting);
+        unfinished
+            .into_iter()
             .find(|sequence| sequence.number == number)
             .or_else(|| self.finished.get(&number))
     }
 
-    /// Ends a generation.
+    /// Cancels a running or waiting generation; does nothing for others.
     pub fn cancel(&mut self, number: u64) {
-        let is_it = |sequence: &Sequence| sequence.number == number;
-        let sequence = if let Some(index) = self.running.iter().position(is_it) {
+        let has_number = |sequence: &Sequence| sequence.number == number;
+        let sequence = if let Some(index) = self.running.iter().position(has_number) {
             self.running.remove(index)
-        } else if let Some(index) = self.waiting.iter().position(is_it) {
+        } else if let Some(index) = self.waiting.iter().position(has_number) {
             let Some(sequence) = self.waiting.remove(index) else {
                 return;
             };
@@ -227,13 +233,13 @@
         };
         sequence
             .progress
-            .send_modify(|progress| progress.ended = Some(Ended::Cancelled));
+            .send_modify(|progress| progress.ended = Some(SequenceEnd::Cancelled));
     }
 
-    /// Counts for a load report.
+    /// Returns the current load.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn load_counts(&self) -> LoadCounts {
+        LoadCounts {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
             kv_used_tokens: self.kv_used_tokens(),
@@ -241,63 +247,67 @@
         }
     }
 
-    /// Cache events after a sequence number.
+    /// Returns the retained cache events after a sequence number.
     #[must_use]
-    pub fn events_after(&self, sequence: u64) -> Vec<CacheEvent> {
+    pub fn cache_events_after(&self, sequence: u64) -> Vec<CacheEvent> {
         let after = self.events.iter().filter(|event| event.sequence > sequence);
         after.cloned().collect()
     }
 
     fn kv_used_tokens(&self) -> u64 {
-        self.running.iter().map(Sequence::held_tokens).sum()
+        self.running.iter().map(Sequence::kv_tokens).sum()
     }
 
-    /// One step: admit, decode, preempt where the memory is full. Gives the step's length.
+    /// Runs one step and returns its simulated duration.
+    ///
+    /// A step admits waiting sequences, preempts running ones if memory is full, and decodes one
+    /// token of each.
     pub fn step(&mut self) -> Duration {
         let prefill_tokens = self.admit();
-        self.make_room();
+        self.preempt_until_fits();
         for sequence in &self.running {
             sequence
                 .progress
-                .send_modify(|progress| progress.made_tokens += 1);
+                .send_modify(|progress| progress.generated_tokens += 1);
         }
-        self.retire();
+        self.finish_completed();
         let sequences = self.running.len() as u64;
         let decode_us = self.spec.step_us + self.spec.step_per_sequence_us * sequences;
         let prefill_us = prefill_tokens * 1_000 / self.spec.prefill_tokens_per_ms.max(1);
         Duration::from_micros(decode_us + prefill_us)
     }
 
-    /// Moves waiting sequences into the batch while they fit; gives the tokens to read first.
+    /// Moves waiting sequences into the batch while they fit; returns the number of tokens to
+    /// prefill.
     fn admit(&mut self) -> u64 {
         let mut prefill_tokens = 0;
         let mut used = self.kv_used_tokens();
         while self.running.len() < self.spec.batch_max {
-            let best = (0..self.waiting.len()).max_by_key(|&index| {
+            let next = (0..self.waiting.len()).max_by_key(|&index| {
                 let priority = self.waiting[index].request.priority;
                 (priority, std::cmp::Reverse(self.waiting[index].number))
             });
-            let Some(index) = best else { break };
-            let held = self.waiting[index].held_tokens();
-            if used + held + 1 > self.spec.kv_capacity_tokens {
+            let Some(index) = next else { break };
+            let kv_tokens = self.waiting[index].kv_tokens();
+            if used + kv_tokens + 1 > self.spec.kv_capacity_tokens {
                 break;
             }
             let Some(sequence) = self.waiting.remove(index) else {
                 break;
             };
-            used += held;
+            used += kv_tokens;
             if !self.touch_prefix(sequence.request.prefix) {
-                prefill_tokens += held;
+                prefill_tokens += kv_tokens;
             }
             self.running.push(sequence);
         }
         prefill_tokens
     }
 
-    /// Whether the prefix was cached; it is afterwards.
+    /// Marks a prefix as most recently used, adding it if needed; returns whether it was cached.
     fn touch_prefix(&mut self, prefix: u64) -> bool {
-        let held = self.prefixes.iter().position(|known| *known == prefix);
-        if let Some(index) = held {
+        let cached = self.prefixes.iter().position(|known| *known == prefix);
+        if let Some(index) = cached {
             self.prefixes.remove(index);
         } else {
             let event = CacheEvent {
@@ -311,14 +321,16 @@
         if self.prefixes.len() > self.spec.cached_prefixes {
             self.prefixes.pop_front();
         }
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > CACHE_EVENTS_MAX {
             self.events.pop_front();
         }
-        held.is_some()
+        cached.is_some()
     }
 
-    /// Preempts the lowest priority, latest arrival first, until every running sequence can grow by one token.
-    fn make_room(&mut self) {
+    /// Preempts sequences until every running one can grow by one token.
+    ///
+    /// The lowest priority is preempted first, and within a priority the latest arrival.
+    fn preempt_until_fits(&mut self) {
         while self.kv_used_tokens() + self.running.len() as u64 > self.spec.kv_capacity_tokens {
             let victim = (0..self.running.len()).min_by_key(|&index| {
                 let sequence = &self.running[index];
@@ -334,12 +346,12 @@
         }
     }
 
-    fn retire(&mut self) {
-        let done = |sequence: &mut Sequence| {
-            sequence.progress.borrow().made_tokens >= sequence.length_tokens
+    fn finish_completed(&mut self) {
+        let is_complete = |sequence: &mut Sequence| {
+            sequence.progress.borrow().generated_tokens >= sequence.length_tokens
         };
-        let retired: Vec<Sequence> = self.running.extract_if(.., done).collect();
-        for sequence in retired {
+        let completed: Vec<Sequence> = self.running.extract_if(.., is_complete).collect();
+        for sequence in completed {
             let reason = if sequence.length_tokens >= sequence.request.max_tokens {
                 FinishReason::Length
             } else {
@@ -347,10 +359,10 @@
             };
             sequence
                 .progress
-                .send_modify(|progress| progress.ended = Some(Ended::Done(reason)));
+                .send_modify(|progress| progress.ended = Some(SequenceEnd::Done(reason)));
             self.finished.insert(sequence.number, sequence);
         }
-        while self.finished.len() > FINISHED_KEPT {
+        while self.finished.len() > FINISHED_MAX {
             self.finished.pop_first();
         }
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,6 @@
-//! Small stand-ins for the systems around larkwick: platform, model engine and plain service. For tests, trials and the demo.
+//! Simulated versions of the systems around larkwick: platform, model engine and plain service.
+//!
+//! Tests, benchmarks and the demo run against them.
 
 mod announce;
 pub mod engine;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,5 +1,7 @@
-//! Stand-in platform: append-only log with offsets, retention, a limited append rate and outages; a lagging list of instances;
-//! a rate-limited weight store.
+//! Stand-in platform: an append-only log, an instance list and a weight store.
+//!
+//! The log has offsets, retention, an append rate limit and outages; the instance list can lag; the
+//! weight store has limited bandwidth.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
@@ -14,35 +16,35 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::server::{Server, rocket_at, start};
+use super::server::{Server, build_rocket, start_server};
 use crate::kernel::clock::{Clock, SystemClock};
 use crate::log_service::{ListedInstance, LogPage};
 
-const PAGE_RECORDS: usize = 1_000;
-/// An instance that announces nothing for this long leaves the list.
-const ANNOUNCEMENT_KEPT: Duration = Duration::from_secs(10);
+const PAGE_RECORDS_MAX: usize = 1_000;
+/// Time after which an instance without a new announcement is removed from the list.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(10);
 
-/// Faults and limits, changed through the control port.
+/// Injected faults and limits, set through the control port.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Everything is refused.
+    /// Refuses all calls to the log and the instance list.
     pub outage: bool,
-    /// The log alone is refused.
+    /// Refuses calls to the log only.
     pub log_outage: bool,
-    /// This many appends take effect and their replies are lost.
+    /// Number of further appends that take effect although their replies are lost.
     pub lose_replies: u32,
-    /// The list shows what was true this long ago.
+    /// Age of the instance list that is returned, in milliseconds.
     pub list_lag_ms: u64,
-    /// Names that the list shows as live whatever they announce.
+    /// Names of instances that are listed as not leaving, whatever they announce.
     pub list_as_live: Vec<String>,
-    /// Appends a second.
+    /// Maximum number of appends per second.
     pub appends_per_s: u32,
-    /// Records before this offset have expired, whatever their age.
+    /// Offset before which records have expired, whatever their age.
     pub expire_before: u64,
-    /// Records are kept this long.
+    /// Retention time of records, in milliseconds.
     pub retention_ms: u64,
-    /// Bytes a second that the weight store gives out.
+    /// Bandwidth of the weight store, in bytes per second.
     pub weight_bytes_per_s: u64,
 }
 
@@ -62,43 +64,43 @@
     }
 }
 
-/// Why a call failed.
+/// Reason why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
-    /// The platform is down.
+pub enum CallError {
+    /// The platform, or its log, is unavailable.
     Outage,
-    /// Too many appends.
-    TooFast,
-    /// The append took effect, but its reply is lost.
+    /// The append rate limit is exceeded.
+    RateLimited,
+    /// The append took effect, but its reply was lost.
     ReplyLost,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Outage => "outage",
-            Self::TooFast => "too many appends",
+            Self::RateLimited => "too many appends",
             Self::ReplyLost => "reply lost",
         })
     }
 }
 
 #[derive(Debug, Clone)]
-struct Kept {
-    at: Duration,
+struct StoredRecord {
+    appended_at: Duration,
     record: Value,
 }
 
 #[derive(Debug, Default)]
 struct Stream {
-    /// Offset of the first record kept.
-    first: u64,
-    records: VecDeque<Kept>,
+    /// Offset of the first retained record.
+    first_offset: u64,
+    records: VecDeque<StoredRecord>,
 }
 
 #[derive(Debug, Clone)]
-struct Announced {
-    at: Duration,
+struct Announcement {
+    announced_at: Duration,
     instance: ListedInstance,
 }
 
@@ -106,20 +108,20 @@
 struct Inner {
     faults: PlatformFaults,
     streams: HashMap<String, Stream>,
-    /// Latest announcements per name, oldest first; enough to show a lagging view.
-    instances: BTreeMap<String, VecDeque<Announced>>,
+    /// Latest announcements by instance name, oldest first; the history serves the lagging list.
+    instances: BTreeMap<String, VecDeque<Announcement>>,
     append_times: VecDeque<Duration>,
-    weights_free_at: Duration,
+    weight_store_free_at: Duration,
 }
 
-/// The platform without its server.
+/// State of the stand-in platform, without its server.
 pub struct PlatformCore {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
 }
 
 impl PlatformCore {
-    /// An empty platform.
+    /// Creates a platform without records or instances.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
@@ -128,131 +130,139 @@
         }
     }
 
-    /// Replaces the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.inner.lock().faults = faults;
     }
 
-    /// Appends a record.
+    /// Appends a record and returns its offset.
     ///
     /// # Errors
-    /// As the faults say.
-    pub fn append(&self, stream: &str, record: Value) -> Result<u64, Refusal> {
+    /// Fails during an outage, above the append rate limit, or after the append if its reply is to be lost.
+    pub fn append(&self, stream: &str, record: Value) -> Result<u64, CallError> {
         let at = self.clock.now();
         let mut inner = self.inner.lock();
         if inner.faults.outage || inner.faults.log_outage {
-            return Err(Refusal::Outage);
+            return Err(CallError::Outage);
         }
-        inner.take_append(at)?;
+        inner.count_append(at)?;
         let stream = inner.streams.entry(stream.to_owned()).or_default();
-        let offset = stream.first + stream.records.len() as u64;
-        stream.records.push_back(Kept { at, record });
+        let offset = stream.first_offset + stream.records.len() as u64;
+        stream.records.push_back(StoredRecord {
+            appended_at: at,
+            record,
+        });
         if inner.faults.lose_replies > 0 {
             inner.faults.lose_replies -= 1;
-            return Err(Refusal::ReplyLost);
+            return Err(CallError::ReplyLost);
         }
         Ok(offset)
     }
 
-    /// Reads records.
+    /// Reads a page of records from an offset on.
     ///
     /// # Errors
-    /// During an outage.
-    pub fn read(&self, stream: &str, from_offset: u64) -> Result<LogPage, Refusal> {
+    /// Fails during an outage.
+    pub fn read(&self, stream: &str, from_offset: u64) -> Result<LogPage, CallError> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         if inner.faults.outage || inner.faults.log_outage {
-            return Err(Refusal::Outage);
+            return Err(CallError::Outage);
         }
         let retention = Duration::from_millis(inner.faults.retention_ms);
         let expire_before = inner.faults.expire_before;
         let stream = inner.streams.entry(stream.to_owned()).or_default();
         while stream.records.front().is_some_and(|kept| {
-            now.saturating_sub(kept.at) > retention || stream.first < expire_before
+            now.saturating_sub(kept.appended_at) > retention || stream.first_offset < expire_before
         }) {
             stream.records.pop_front();
-            stream.first += 1;
+            stream.first_offset += 1;
         }
-        let first_offset = from_offset.max(stream.first);
-        let skip = usize::try_from(first_offset - stream.first).unwrap_or(usize::MAX);
-        let records = stream.records.iter().skip(skip).take(PAGE_RECORDS);
+        let first_offset = from_offset.max(stream.first_offset);
+        let skip = usize::try_from(first_offset - stream.first_offset).unwrap_or(usize::MAX);
+        let records = stream.records.iter().skip(skip).take(PAGE_RECORDS_MAX);
         Ok(LogPage {
-            first_kept: stream.first,
-            head: stream.first + stream.records.len() as u64,
+            first_kept: stream.first_offset,
+            head: stream.first_offset + stream.records.len() as u64,
             first_offset,
             records: records.map(|kept| kept.record.clone()).collect(),
         })
     }
 
-    /// The list as it was `list_lag_ms` ago.
+    /// Returns the instance list as it was `list_lag_ms` ago.
     ///
     /// # Errors
-    /// During an outage.
-    pub fn list(&self) -> Result<Vec<ListedInstance>, Refusal> {
+    /// Fails during an outage.
+    pub fn list(&self) -> Result<Vec<ListedInstance>, CallError> {
         let now = self.clock.now();
         let inner = self.inner.lock();
         if inner.faults.outage {
-            return Err(Refusal::Outage);
+            return Err(CallError::Outage);
         }
-        let seen_at = now.saturating_sub(Duration::from_millis(inner.faults.list_lag_ms));
-        let shown = inner.instances.values().filter_map(|history| {
-            let shown = history
+        let as_of = now.saturating_sub(Duration::from_millis(inner.faults.list_lag_ms));
+        let listed = inner.instances.values().filter_map(|history| {
+            let latest = history
                 .iter()
                 .rev()
-                .find(|announced| announced.at <= seen_at)?;
-            let fresh = seen_at.saturating_sub(shown.at) < ANNOUNCEMENT_KEPT;
-            fresh.then(|| inner.faults.show(&shown.instance))
+                .find(|announcement| announcement.announced_at <= as_of)?;
+            let is_fresh = as_of.saturating_sub(latest.announced_at) < ANNOUNCEMENT_TTL;
+            is_fresh.then(|| inner.faults.listed_as(&latest.instance))
         });
-        Ok(shown.collect())
+        Ok(listed.collect())
     }
 
-    /// Takes an announcement.
+    /// Records the announcement of an instance.
     ///
     /// # Errors
-    /// During an outage.
-    pub fn announce(&self, instance: &ListedInstance) -> Result<(), Refusal> {
-        const HISTORY: usize = 64;
+    /// Fails during an outage.
+    pub fn announce(&self, instance: &ListedInstance) -> Result<(), CallError> {
+        const HISTORY_MAX: usize = 64;
         let at = self.clock.now();
         let mut inner = self.inner.lock();
         if inner.faults.outage {
-            return Err(Refusal::Outage);
+            return Err(CallError::Outage);
         }
         let name = instance.incarnation.name.clone();
         let history = inner.instances.entry(name).or_default();
-        if history.len() == HISTORY {
+        if history.len() == HISTORY_MAX {
             history.pop_front();
         }
         let instance = instance.clone();
-        history.push_back(Announced { at, instance });
+        history.push_back(Announcement {
+            announced_at: at,
+            instance,
+        });
         Ok(())
     }
 
-    /// Reserves a transfer from the weight store and gives the time until it is complete.
+    /// Reserves a transfer from the weight store; returns the time until it completes.
+    ///
+    /// Transfers run one after the other.
     pub fn fetch_weights(&self, bytes: u64) -> Duration {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let per_s = inner.faults.weight_bytes_per_s.max(1);
-        let takes = Duration::from_millis(bytes.saturating_mul(1000) / per_s);
-        inner.weights_free_at = inner.weights_free_at.max(now) + takes;
-        inner.weights_free_at.saturating_sub(now)
+        let transfer = Duration::from_millis(bytes.saturating_mul(1000) / per_s);
+        inner.weight_store_free_at = inner.weight_store_free_at.max(now) + transfer;
+        inner.weight_store_free_at.saturating_sub(now)
     }
 }
 
 impl PlatformFaults {
-    fn show(&self, instance: &ListedInstance) -> ListedInstance {
-        let mut shown = instance.clone();
+    fn listed_as(&self, instance: &ListedInstance) -> ListedInstance {
+        let mut listed = instance.clone();
         if self.list_as_live.contains(&instance.incarnation.name) {
-            shown.leaving = false;
-            if let Some(status) = &mut shown.status {
+            listed.leaving = false;
+            if let Some(status) = &mut listed.status {
                 status.leaving = false;
             }
         }
-        shown
+        listed
     }
 }
 
 impl Inner {
-    fn take_append(&mut self, now: Duration) -> Result<(), Refusal> {
+    fn count_append(&mut self, now: Duration) -> Result<(), CallError> {
         let window = Duration::from_secs(1);
         while self
             .append_times
@@ -263,94 +273,106 @@
         }
         let limit = usize::try_from(self.faults.appends_per_s).unwrap_or(usize::MAX);
         if self.append_times.len() >= limit {
-            return Err(Refusal::TooFast);
+            return Err(CallError::RateLimited);
         }
         self.append_times.push_back(now);
         Ok(())
     }
 }
 
-/// Offset of an appended record.
+/// Reply to an append.
 #[derive(Debug, Serialize)]
-struct Appended {
+struct AppendReply {
     offset: u64,
 }
 
-/// Time until a transfer is complete.
+/// Reply to a weight request.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Transfer {
-    /// In milliseconds.
+pub(crate) struct WeightTransfer {
+    /// Time until the transfer completes, in milliseconds.
     pub(crate) takes_ms: u64,
 }
 
-type Core = State<Arc<PlatformCore>>;
+type PlatformState = State<Arc<PlatformCore>>;
 
-fn status_of(refusal: Refusal) -> Status {
-    match refusal {
-        Refusal::Outage => Status::ServiceUnavailable,
-        Refusal::TooFast => Status::TooManyRequests,
-        Refusal::ReplyLost => Status::GatewayTimeout,
+fn http_status(error: CallError) -> Status {
+    match error {
+        CallError::Outage => Status::ServiceUnavailable,
+        CallError::RateLimited => Status::TooManyRequests,
+        CallError::ReplyLost => Status::GatewayTimeout,
     }
 }
 
 #[post("/log/<stream>", data = "<record>")]
-fn append(core: &Core, stream: &str, record: Json<Value>) -> Result<Json<Appended>, Status> {
+fn append(
+    core: &PlatformState,
+    stream: &str,
+    record: Json<Value>,
+) -> Result<Json<AppendReply>, Status> {
     let appended = core.append(stream, record.into_inner());
     appended
-        .map(|offset| Json(Appended { offset }))
-        .map_err(status_of)
+        .map(|offset| Json(AppendReply { offset }))
+        .map_err(http_status)
 }
 
 #[get("/log/<stream>?<from>")]
-fn read(core: &Core, stream: &str, from: u64) -> Result<Json<LogPage>, Status> {
-    core.read(stream, from).map(Json).map_err(status_of)
+fn read(core: &PlatformState, stream: &str, from: u64) -> Result<Json<LogPage>, Status> {
+    core.read(stream, from).map(Json).map_err(http_status)
 }
 
 #[get("/instances")]
-fn list(core: &Core) -> Result<Json<Vec<ListedInstance>>, Status> {
-    core.list().map(Json).map_err(status_of)
+fn list(core: &PlatformState) -> Result<Json<Vec<ListedInstance>>, Status> {
+    core.list().map(Json).map_err(http_status)
 }
 
 #[put("/instances/<_>", data = "<instance>")]
-#[expect(clippy::needless_pass_by_value, reason = "a guard of rocket")]
-fn announce(core: &Core, instance: Json<ListedInstance>) -> Result<Json<()>, Status> {
-    core.announce(&instance).map(Json).map_err(status_of)
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "rocket passes request guards by value"
+)]
+fn announce(core: &PlatformState, instance: Json<ListedInstance>) -> Result<Json<()>, Status> {
+    core.announce(&instance).map(Json).map_err(http_status)
 }
 
 #[post("/weights?<bytes>")]
-fn weights(core: &Core, bytes: u64) -> Json<Transfer> {
-    let takes = core.fetch_weights(bytes);
-    Json(Transfer {
-        takes_ms: crate::kernel::clock::millis(takes),
+fn weights(core: &PlatformState, bytes: u64) -> Json<WeightTransfer> {
+    let remaining = core.fetch_weights(bytes);
+    Json(WeightTransfer {
+        takes_ms: crate::kernel::clock::millis(remaining),
     })
 }
 
 #[put("/faults", data = "<faults>")]
-fn set_faults(core: &Core, faults: Json<PlatformFaults>) -> Status {
+fn set_faults(core: &PlatformState, faults: Json<PlatformFaults>) -> Status {
     core.set_faults(faults.into_inner());
     Status::NoContent
 }
 
-/// A platform that listens.
+/// A running stand-in platform.
 pub struct RunningPlatform {
-    /// The platform's protocol.
+    /// Server of the platform protocol.
     pub server: Server,
-    /// Faults.
+    /// Server of the control port.
     pub control: Server,
-    /// The state behind both.
+    /// State shared by both servers.
     pub core: Arc<PlatformCore>,
 }
 
 /// Starts a stand-in platform.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// Fails if an address cannot be bound.
 pub async fn run(address: SocketAddr, control: SocketAddr) -> anyhow::Result<RunningPlatform> {
     let core = Arc::new(PlatformCore::new(Arc::new(SystemClock::default())));
     let routes = routes![append, read, list, announce, weights];
-    let server = start(rocket_at(address).manage(core.clone()).mount("/", routes)).await?;
-    let faults = rocket_at(control).manage(core.clone());
-    let control = start(faults.mount("/", routes![set_faults])).await?;
+    let server = start_server(
+        build_rocket(address)
+            .manage(core.clone())
+            .mount("/", routes),
+    )
+    .await?;
+    let rocket = build_rocket(control).manage(core.clone());
+    let control = start_server(rocket.mount("/", routes![set_faults])).await?;
     Ok(RunningPlatform {
         server,
         control,
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! How the stand-ins and the daemon start a rocket server on an address from their settings.
+//! Starting and stopping of rocket servers, shared by the stand-ins and the daemon.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,26 +8,28 @@
 use rocket::{Build, Orbit, Rocket, Shutdown};
 use tokio::sync::oneshot;
 
-/// Largest body that is read.
+/// Maximum size of a request body.
 pub const BODY_MAX_BYTES: u64 = 4 * 1024 * 1024;
 const PLATFORM_BODY_MAX_MIB: u64 = 64;
 
 /// A running rocket server.
 pub struct Server {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Stops it.
+    /// Handle that triggers the shutdown.
     pub shutdown: Shutdown,
-    /// Ends when it has stopped.
+    /// Task that completes when the server has stopped.
     pub task: tokio::task::JoinHandle<()>,
 }
 
-/// Takes the place of rocket's logger, which would print on standard output.
+/// Discards all log records; installed in place of rocket's logger, which prints to standard
+/// output.
 ///
-/// Rocket's level of logging is global: one server that launches raises it for the others, whatever their settings say.
-struct Silent;
+/// Setting rocket's log level is not enough: the level is global, and each server that launches
+/// raises it for the others, whatever their settings say.
+struct NoopLogger;
 
-impl log::Log for Silent {
+impl log::Log for NoopLogger {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         false
     }
@@ -37,11 +39,13 @@
     fn flush(&self) {}
 }
 
-/// A rocket that binds `address` (port 0 takes a free one), prints nothing and leaves signals alone.
+/// Builds a rocket that binds `address`, prints nothing and installs no signal handlers.
+///
+/// Port 0 selects a free port.
 #[must_use]
-pub fn rocket_at(address: SocketAddr) -> Rocket<Build> {
-    // Fails where a logger is set already; then rocket's is not.
-    let _ = log::set_logger(&Silent);
+pub fn build_rocket(address: SocketAddr) -> Rocket<Build> {
+    // Fails if a logger is already installed; then rocket cannot install its own either.
+    let _ = log::set_logger(&NoopLogger);
     let limits = Limits::default()
         .limit("json", PLATFORM_BODY_MAX_MIB.mebibytes())
         .limit("bytes", BODY_MAX_BYTES.bytes());
@@ -66,18 +70,18 @@
 /// Starts a server and waits until it listens.
 ///
 /// # Errors
-/// The address cannot be bound or the routes collide.
-pub async fn start(rocket: Rocket<Build>) -> anyhow::Result<Server> {
-    let (bound, listening) = oneshot::channel();
-    let bound = parking_lot::Mutex::new(Some(bound));
+/// Fails if the address cannot be bound or the routes collide.
+pub async fn start_server(rocket: Rocket<Build>) -> anyhow::Result<Server> {
+    let (bound_sender, bound_address) = oneshot::channel();
+    let bound_sender = parking_lot::Mutex::new(Some(bound_sender));
     let liftoff = AdHoc::on_liftoff("bound address", move |rocket: &Rocket<Orbit>| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
-        if let Some(bound) = bound.lock().take() {
-            let _ = bound.send(address);
+        if let Some(sender) = bound_sender.lock().take() {
+            let _ = sender.send(address);
         }
         Box::pin(async {})
     });
-    let wanted = (
+    let requested = (
         rocket.figment().extract_inner::<IpAddr>("address").ok(),
         rocket.figment().extract_inner::<u16>("port").ok(),
     );
@@ -88,7 +92,7 @@
         .map_err(|error| anyhow::anyhow!("cannot start server: {error}"))?;
     let shutdown = ignited.shutdown();
     let launch = tokio::spawn(async move { ignited.launch().await.map(drop) });
-    let address = listening.await;
+    let address = bound_address.await;
     if let Ok(address) = address {
         Ok(Server {
             address,
@@ -99,18 +103,21 @@
         })
     } else {
         let result = launch.await.context("server task")?;
-        let why = result.err().map(|error| error.kind().to_string());
-        anyhow::bail!("cannot listen on {wanted:?}: {}", why.unwrap_or_default())
+        let reason = result.err().map(|error| error.kind().to_string());
+        anyhow::bail!(
+            "cannot listen on {requested:?}: {}",
+            reason.unwrap_or_default()
+        )
     }
 }
 
-/// Stops servers side by side.
-pub async fn stop_all(servers: Vec<Server>) {
+/// Stops servers concurrently and waits until all have stopped.
+pub async fn stop_servers(servers: Vec<Server>) {
     for server in &servers {
         server.shutdown.clone().notify();
     }
     for server in servers {
-        // A server that failed has stopped too.
+        // A server task that panicked has stopped as well.
         let _ = server.task.await;
     }
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in plain service: echoes what it was asked and counts how often each request ran.
+//! Stand-in plain service: echoes the request body and counts how often each request ran.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,41 +15,41 @@
 use uuid::Uuid;
 
 use super::announce;
-use super::server::{Server, rocket_at, start};
+use super::server::{Server, build_rocket, start_server};
 use crate::endpoint::protocol::{ATTEMPT_ID_HEADER, NOT_ADMITTED_HEADER, REQUEST_ID_HEADER};
 use crate::kernel::membership::Incarnation;
 use crate::kernel::policy::LoadReport;
 
-/// Faults, changed through the control port.
+/// Injected faults, set through the control port.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Time from counting a run to its answer.
+    /// Delay between running a request and responding to it, in milliseconds.
     pub delay_ms: u64,
-    /// This many calls run and their answers are lost.
+    /// Number of further calls that run although their responses are lost.
     pub lose_replies: u32,
-    /// Calls are refused before they run.
+    /// Refuses calls before they run.
     pub refuse: bool,
-    /// This many answers echo a wrong request id.
+    /// Number of further responses that carry a wrong request id.
     pub cross_replies: u32,
-    /// The service says that it is leaving.
+    /// Reports that the service is draining, and refuses calls.
     pub leaving: bool,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     faults: ServiceFaults,
-    /// Runs by the body's text: tests send a text of their own with each request.
-    runs: BTreeMap<String, u32>,
+    /// Number of runs by request body; tests send a distinct body with each request.
+    run_counts: BTreeMap<String, u32>,
 }
 
-/// The service behind its server.
+/// State of a stand-in service, shared by its request handlers.
 pub struct Service {
     incarnation: Incarnation,
     inner: Mutex<Inner>,
 }
 
-type Shared = State<Arc<Service>>;
+type ServiceState = State<Arc<Service>>;
 
 struct CallIds {
     request_id: String,
@@ -70,30 +70,35 @@
 }
 
 #[derive(Serialize)]
-struct Ran {
+struct EchoBody {
     path: String,
     echo: String,
 }
 
 #[derive(Responder)]
-enum Answer {
+enum ServiceResponse {
     #[response(status = 503)]
     Refused((), Header<'static>),
     #[response(status = 200)]
-    Ran(Json<Ran>, Header<'static>, Header<'static>),
+    Echoed(Json<EchoBody>, Header<'static>, Header<'static>),
     #[response(status = 504)]
-    Lost(()),
+    ReplyLost(()),
 }
 
 #[post("/<path..>", data = "<body>", rank = 10)]
-async fn call(service: &Shared, ids: CallIds, path: PathBuf, body: String) -> Answer {
+async fn call(
+    service: &ServiceState,
+    ids: CallIds,
+    path: PathBuf,
+    body: String,
+) -> ServiceResponse {
     let faults = {
         let mut inner = service.inner.lock();
         if inner.faults.refuse || inner.faults.leaving {
             let header = Header::new(NOT_ADMITTED_HEADER, ids.attempt_id);
-            return Answer::Refused((), header);
+            return ServiceResponse::Refused((), header);
         }
-        *inner.runs.entry(body.clone()).or_default() += 1;
+        *inner.run_counts.entry(body.clone()).or_default() += 1;
         let faults = inner.faults.clone();
         inner.faults.lose_replies = faults.lose_replies.saturating_sub(1);
         inner.faults.cross_replies = faults.cross_replies.saturating_sub(1);
@@ -101,26 +106,26 @@
     };
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.lose_replies > 0 {
-        return Answer::Lost(());
+        return ServiceResponse::ReplyLost(());
     }
     let request_id = if faults.cross_replies > 0 {
         Uuid::new_v4().to_string()
     } else {
         ids.request_id
     };
-    let ran = Ran {
+    let echo = EchoBody {
         path: path.display().to_string(),
         echo: body,
     };
-    Answer::Ran(
-        Json(ran),
+    ServiceResponse::Echoed(
+        Json(echo),
         Header::new(REQUEST_ID_HEADER, request_id),
         Header::new(ATTEMPT_ID_HEADER, ids.attempt_id),
     )
 }
 
 #[get("/v1/load")]
-fn load(service: &Shared) -> Json<LoadReport> {
+fn load(service: &ServiceState) -> Json<LoadReport> {
     Json(LoadReport {
         incarnation: service.incarnation.id,
         leaving: service.inner.lock().faults.leaving,
@@ -134,28 +139,28 @@
 }
 
 #[get("/runs")]
-fn runs(service: &Shared) -> Json<BTreeMap<String, u32>> {
-    Json(service.inner.lock().runs.clone())
+fn run_counts(service: &ServiceState) -> Json<BTreeMap<String, u32>> {
+    Json(service.inner.lock().run_counts.clone())
 }
 
 #[put("/faults", data = "<faults>")]
-fn set_faults(service: &Shared, faults: Json<ServiceFaults>) -> Status {
+fn set_faults(service: &ServiceState, faults: Json<ServiceFaults>) -> Status {
     service.inner.lock().faults = faults.into_inner();
     Status::NoContent
 }
 
-/// A service that listens.
+/// A running stand-in service.
 pub struct RunningService {
-    /// The service's calls.
+    /// Server of the service's calls.
     pub server: Server,
-    /// Faults and counters.
+    /// Server of the control port.
     pub control: Server,
 }
 
 /// Starts a stand-in service.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// Fails if an address cannot be bound.
 pub async fn run(
     name: &str,
     address: SocketAddr,
@@ -169,17 +174,17 @@
         },
         inner: Mutex::default(),
     });
-    let rocket = rocket_at(address).manage(service.clone());
-    let server = start(rocket.mount("/", routes![call, load])).await?;
-    let rocket = rocket_at(control).manage(service.clone());
-    let control = start(rocket.mount("/", routes![runs, set_faults])).await?;
+    let rocket = build_rocket(address).manage(service.clone());
+    let server = start_server(rocket.mount("/", routes![call, load])).await?;
+    let rocket = build_rocket(control).manage(service.clone());
+    let control = start_server(rocket.mount("/", routes![run_counts, set_faults])).await?;
     if let Some(platform) = platform {
         let announced = service.clone();
-        let leaving = move || announced.inner.lock().faults.leaving;
-        tokio::spawn(announce::run(
+        let is_leaving = move || announced.inner.lock().faults.leaving;
+        tokio::spawn(announce::announce_periodically(
             platform,
             service.incarnation.clone(),
-            leaving,
+            is_leaving,
         ));
     }
     Ok(RunningService { server, control })
--- a/src/tool/load/arrivals.rs
+++ b/src/tool/load/arrivals.rs
@@ -175,8 +175,8 @@
     let mut submitted: u32 = 0;
     let room = crate::kernel::policy::tokens_as_f64(spec.kv_capacity_tokens) * FILL;
     while submitted < REQUESTS {
-        let used = crate::kernel::policy::tokens_as_f64(engine.counts().kv_used_tokens);
-        if used < room && engine.counts().waiting == 0 {
+        let used = crate::kernel::policy::tokens_as_f64(engine.load_counts().kv_used_tokens);
+        if used < room && engine.load_counts().waiting == 0 {
             let arrival = mix.draw(Duration::ZERO, &mut random);
             engine.submit(super::stream::generation_request(&arrival, mix));
             submitted += 1;
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -244,7 +244,7 @@
     let preemptions: u64 = setup
         .engines
         .iter()
-        .map(|running| running.engine.report_now().preemptions_total)
+        .map(|running| running.engine.current_load().preemptions_total)
         .sum();
     let figures = figures(policy, &measured, preemptions, options.lasts)?;
     tear_down(setup).await;
