--- a/benches/store_returns.rs
+++ b/benches/store_returns.rs
@@ -24,7 +24,7 @@
 
 fn calls(site: &RoutedSite) -> u32 {
     let store = &site.standin.store;
-    PATHS.iter().map(|path| store.calls(path)).sum()
+    PATHS.iter().map(|path| store.call_count(path)).sum()
 }
 
 async fn knows(instance: &Instance, version: u64, era: u64, server: &Server) -> bool {
@@ -68,9 +68,9 @@
         state["members"].as_array().map(Vec::len) == Some(count - 1)
     })
     .await;
-    let copy = site.standin.store.copy();
+    let copy = site.standin.store.snapshot();
     site.standin.publish(3, &[KEY]);
-    let server = site.standin.server("app", ServerKind::Plain).await;
+    let server = site.standin.start_server("app", ServerKind::Plain).await;
     let server = server.expect("server starts");
     known_after(&instances, Instant::now(), 3, 0, &server).await;
     let before = calls(&site);
@@ -78,9 +78,9 @@
     let quiet = calls(&site) - before;
     let before = calls(&site);
     let returned_at = Instant::now();
-    let lost = site.standin.store.come_back_from(copy);
+    let lost = site.standin.store.restore(copy);
     tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
-    site.standin.store.write_again(&lost);
+    site.standin.store.replay_lost_writes(&lost);
     let after = known_after(&instances, returned_at, 3, 1, &server).await;
     tokio::time::sleep(COUNTED_FOR.saturating_sub(returned_at.elapsed())).await;
     let returning = calls(&site) - before;
--- a/src/standin/site/mod.rs
+++ b/src/standin/site/mod.rs
@@ -1,4 +1,6 @@
-//! Stand-in of the users' platform: a store and servers in this process, speaking the adapter's wire, with faults set by tests.
+//! In-process stand-in of the users' platform: a store and servers with injected faults.
+//!
+//! They speak the protocols of the platform adapter.
 
 pub mod server;
 pub mod store;
@@ -19,27 +21,27 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use server::{Arrival, Server, ServerKind, Servers};
+use server::{Arrival, Server, ServerKind, ServerRegistry};
 use store::LogStore;
 
-/// Body of an answer; an error closes the connection.
+/// Body of a response; an error in it closes the connection.
 pub type StandinBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// The host that the configurations of [`SiteStandin::publish`] name.
+/// Host of all routes in the configurations of [`SiteStandin::publish`].
 pub const HOST: &str = "site.example";
-/// The key of the one client account.
+/// API key of the default client account.
 pub const KEY: &str = "key-1";
 
-/// A listener whose connections are cut when it is dropped.
+/// A listener that closes its connections when it is dropped.
 #[derive(Debug)]
-pub struct Listening {
-    /// Where it listens.
+pub struct Listener {
+    /// Address on which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
     connections: Arc<parking_lot::Mutex<Vec<tokio::task::AbortHandle>>>,
 }
 
-impl Drop for Listening {
+impl Drop for Listener {
     fn drop(&mut self) {
         self.task.abort();
         for connection in self.connections.lock().drain(..) {
@@ -48,11 +50,11 @@
     }
 }
 
-impl Listening {
-    /// Ends as a process does that crashes: nobody listens any more by the time its connections are cut.
-    pub async fn end(mut self) {
+impl Listener {
+    /// Simulates a process crash: the listener closes first, then its connections are cut.
+    pub async fn crash(mut self) {
         self.task.abort();
-        // An aborted task always ends, and says nothing else.
+        // The result is irrelevant: an aborted task always ends.
         let _ = (&mut self.task).await;
     }
 }
@@ -60,40 +62,40 @@
 /// Serves a handler on a free loopback port.
 ///
 /// # Errors
-/// No port can be bound.
-pub async fn listen<H, F>(handler: H) -> std::io::Result<Listening>
+/// Fails if no port can be bound.
+pub async fn serve<H, F>(handler: H) -> std::io::Result<Listener>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<StandinBody>> + Send + 'static,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let address = listener.local_addr()?;
+    let socket = TcpListener::bind("127.0.0.1:0").await?;
+    let address = socket.local_addr()?;
     let connections = Arc::new(parking_lot::Mutex::new(Vec::new()));
-    let open = connections.clone();
+    let open_connections = connections.clone();
     let task = tokio::spawn(async move {
-        while let Ok((stream, _)) = listener.accept().await {
+        while let Ok((stream, _)) = socket.accept().await {
             let handler = handler.clone();
             let service = service_fn(move |request| {
-                let answered = handler(request);
-                async move { Ok::<_, Infallible>(answered.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            let served = tokio::spawn(async move {
-                // How a connection ended shows at its other end.
+            let connection_task = tokio::spawn(async move {
+                // Errors are ignored: the peer sees how the connection ended.
                 let _ = connection.await;
             });
-            open.lock().push(served.abort_handle());
+            open_connections.lock().push(connection_task.abort_handle());
         }
     });
-    Ok(Listening {
+    Ok(Listener {
         address,
         task,
         connections,
     })
 }
 
-/// Adds a header that no page names to an answer, where a test wants one.
-fn add_unknown(header: Option<&'static str>, response: &mut Response<StandinBody>) {
+/// Adds an undocumented header to a response if a test has set one.
+fn add_unknown_header(header: Option<&'static str>, response: &mut Response<StandinBody>) {
     if let Some(name) = header {
         let name = http::HeaderName::from_static(name);
         let headers = response.headers_mut();
@@ -101,72 +103,76 @@
     }
 }
 
-/// A body that is at hand.
+/// Returns a body with known contents.
 #[must_use]
-pub fn whole(body: impl Into<Bytes>) -> StandinBody {
+pub fn full_body(body: impl Into<Bytes>) -> StandinBody {
     Full::new(body.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer with a status and a body.
+/// Returns a response with a status and a body.
 #[must_use]
-pub fn answer(status: u16, body: impl Into<Bytes>) -> Response<StandinBody> {
-    let mut response = Response::new(whole(body));
+pub fn build_response(status: u16, body: impl Into<Bytes>) -> Response<StandinBody> {
+    let mut response = Response::new(full_body(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
 
-/// A platform with servers.
+/// A platform with a store and servers.
 pub struct SiteStandin {
     /// The store.
     pub store: Arc<LogStore>,
-    servers: Arc<Servers>,
-    listening: Listening,
+    servers: Arc<ServerRegistry>,
+    listener: Listener,
 }
 
 impl SiteStandin {
-    /// Starts a store without servers and without a configuration.
+    /// Starts an empty store, without servers and configuration.
     ///
     /// # Errors
-    /// No port can be bound.
+    /// Fails if no port can be bound.
     pub async fn start() -> std::io::Result<Self> {
         let store = Arc::new(LogStore::default());
-        let served = store.clone();
-        let listening = listen(move |request| {
-            let store = served.clone();
-            async move { store.answer(request).await }
+        let handler_store = store.clone();
+        let listener = serve(move |request| {
+            let store = handler_store.clone();
+            async move { store.handle(request).await }
         })
         .await?;
         Ok(Self {
             store,
             servers: Arc::default(),
-            listening,
+            listener,
         })
     }
 
-    /// Address of the store.
+    /// Returns the address of the store.
     #[must_use]
     pub fn store_address(&self) -> SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 
-    /// Starts a server and lists it.
+    /// Starts a server and lists it as ready.
     ///
     /// # Errors
-    /// No port can be bound.
-    pub async fn server(&self, service: &str, kind: ServerKind) -> std::io::Result<Arc<Server>> {
-        let server = self.server_unlisted(service, kind).await?;
-        self.list(&server, "ready");
+    /// Fails if no port can be bound.
+    pub async fn start_server(
+        &self,
+        service: &str,
+        kind: ServerKind,
+    ) -> std::io::Result<Arc<Server>> {
+        let server = self.start_unlisted_server(service, kind).await?;
+        self.list_server(&server, "ready");
         Ok(server)
     }
 
-    /// Starts a server that nobody knows yet.
+    /// Starts a server that is not listed in the store.
     ///
     /// # Errors
-    /// No port can be bound.
-    pub async fn server_unlisted(
+    /// Fails if no port can be bound.
+    pub async fn start_unlisted_server(
         &self,
         service: &str,
         kind: ServerKind,
@@ -174,20 +180,20 @@
         self.servers.start(service, kind).await
     }
 
-    /// Writes a server's entry.
-    pub fn list(&self, server: &Server, state: &str) {
-        self.list_with(server, &json!({"state": state}));
+    /// Writes a server's entry with a state.
+    pub fn list_server(&self, server: &Server, state: &str) {
+        self.list_server_with(server, &json!({"state": state}));
     }
 
-    /// Writes a server's entry with other fields than usual; a field that is null is left out.
-    pub fn list_with(&self, server: &Server, fields: &Value) {
-        let entry = Self::entry(server, fields);
+    /// Writes a server's entry with `fields` in place of the defaults; null removes a field.
+    pub fn list_server_with(&self, server: &Server, fields: &Value) {
+        let entry = Self::server_entry(server, fields);
         self.store.put("keyed.servers", &server.id, &entry);
     }
 
-    /// A server's entry with other fields than usual; a field that is null is left out.
+    /// Returns a server's entry with `fields` in place of the defaults; null removes a field.
     #[must_use]
-    pub fn entry(server: &Server, fields: &Value) -> Value {
+    pub fn server_entry(server: &Server, fields: &Value) -> Value {
         let mut entry = json!({
             "service": server.service, "addr": server.address(), "zone": "hall-1", "version": "v1",
             "slots": server.slots(), "state": "ready", "cold-left-ms": 0, "seq": 1,
@@ -202,40 +208,42 @@
         entry
     }
 
-    /// Asks that nothing more be sent to the servers of a hall.
-    pub fn evacuate(&self, hall: &str) {
+    /// Writes the order to evacuate a hall: its servers are to receive no further requests.
+    pub fn evacuate_hall(&self, hall: &str) {
         let key = format!("evacuate/{hall}");
         self.store.put("keyed.op", &key, &json!({}));
     }
 
-    /// Takes the request of [`SiteStandin::evacuate`] back.
-    pub fn take_back(&self, hall: &str) {
-        self.store.drop_key("keyed.op", &format!("evacuate/{hall}"));
+    /// Deletes the order of [`SiteStandin::evacuate_hall`].
+    pub fn restore_hall(&self, hall: &str) {
+        self.store.delete("keyed.op", &format!("evacuate/{hall}"));
     }
 
-    /// Drops a server's entry.
-    pub fn unlist(&self, server: &Server) {
-        self.store.drop_key("keyed.servers", &server.id);
+    /// Deletes a server's entry.
+    pub fn unlist_server(&self, server: &Server) {
+        self.store.delete("keyed.servers", &server.id);
     }
 
-    /// Publishes a configuration: `calls` may be repeated on two servers, `once` may not, `chat` streams, `check` streams and may be resumed
-    /// at two engines.
+    /// Publishes the default configuration, which has four routes.
+    ///
+    /// `calls` is idempotent with two attempts, `once` is not idempotent, `chat` streams, and
+    /// `check` streams and may be resumed, with two attempts.
     pub fn publish(&self, version: u64, keys: &[&str]) {
         self.publish_with_routes(version, keys, 0);
     }
 
-    /// Publishes a configuration with so many routes more, which nobody calls.
-    pub fn publish_with_routes(&self, version: u64, keys: &[&str], more: u32) {
-        self.publish_value(&Self::config(version, keys, more));
+    /// Publishes the default configuration with a number of additional routes that no test calls.
+    pub fn publish_with_routes(&self, version: u64, keys: &[&str], extra_routes: u32) {
+        self.publish_config(&Self::config(version, keys, extra_routes));
     }
 
-    /// The configuration of [`SiteStandin::publish`], to be changed and published.
+    /// Returns the configuration of [`SiteStandin::publish`], for tests that change it.
     #[must_use]
-    pub fn usual_config(&self, version: u64, keys: &[&str]) -> Value {
+    pub fn default_config(&self, version: u64, keys: &[&str]) -> Value {
         Self::config(version, keys, 0)
     }
 
-    fn config(version: u64, keys: &[&str], more: u32) -> Value {
+    fn config(version: u64, keys: &[&str], extra_routes: u32) -> Value {
         let route = |name: &str, kind: &str, service: &str, attempts: u32| {
             let timeout_ms = if kind == "stream" { 20_000 } else { 4_000 };
             json!({
@@ -255,8 +263,8 @@
             route("chat", "stream", "llm", 1),
             resumable,
         ];
-        let more = (0..more).map(|number| format!("more-{number}"));
-        routes.extend(more.map(|name| route(&name, "idempotent", "app", 2)));
+        let extra_names = (0..extra_routes).map(|number| format!("more-{number}"));
+        routes.extend(extra_names.map(|name| route(&name, "idempotent", "app", 2)));
         json!({
             "version": version,
             "routes": routes,
@@ -267,40 +275,42 @@
         })
     }
 
-    /// Publishes the usual configuration with a plain service whose servers are cold for so long after a start, and bear so many calls a second
-    /// while they are.
-    pub fn publish_cold(&self, version: u64, cold_start_s: f64, cold_per_s: f64) {
+    /// Publishes the default configuration with a cold start for the plain service.
+    ///
+    /// After a start its servers warm up for `cold_start_s` seconds and sustain `cold_per_s` calls
+    /// per second meanwhile.
+    pub fn publish_with_cold_start(&self, version: u64, cold_start_s: f64, cold_per_s: f64) {
         let mut config = Self::config(version, &[KEY], 0);
         config["services"][0]["cold-start-s"] = json!(cold_start_s);
         config["services"][0]["cold-per-s"] = json!(cold_per_s);
-        self.publish_value(&config);
+        self.publish_config(&config);
     }
 
-    /// Publishes a configuration as it is.
-    pub fn publish_value(&self, config: &Value) {
+    /// Publishes a configuration without validating it.
+    pub fn publish_config(&self, config: &Value) {
         self.store.put("keyed.op", "config", config);
     }
 
-    /// From now on each server that begins to run a request with this body crashes.
-    pub fn crash_on(&self, body: &'static [u8]) {
-        self.servers.crash_on(body);
+    /// Makes each server crash that starts to run a request with this body, from now on.
+    pub fn crash_servers_on(&self, body: &'static [u8]) {
+        self.servers.add_crashing_body(body);
     }
 
-    /// Servers that crashed, in order.
+    /// Returns the ids of the crashed servers, in order.
     #[must_use]
-    pub fn crashed(&self) -> Vec<String> {
-        self.servers.crashed()
+    pub fn crashed_servers(&self) -> Vec<String> {
+        self.servers.crashed_ids()
     }
 
-    /// Requests that servers have answered, in order.
+    /// Returns the requests that servers have answered, in order.
     #[must_use]
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.servers.arrivals()
     }
 
-    /// Servers on which a request ran, in order.
+    /// Returns the ids of the servers on which a request ran, in order.
     #[must_use]
-    pub fn runs_of(&self, request: &str) -> Vec<String> {
-        self.servers.runs_of(request)
+    pub fn servers_that_ran(&self, request: &str) -> Vec<String> {
+        self.servers.servers_that_ran(request)
     }
 }
--- a/src/standin/site/server.rs
+++ b/src/standin/site/server.rs
@@ -1,4 +1,5 @@
-//! The stand-in's servers: plain ones that answer a call, and engines that stream events, hold memory and move it.
+//! Servers of the stand-in platform: plain servers, and engines that stream events and copy
+//! their memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,192 +17,193 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use super::{Listening, StandinBody, add_unknown, answer, listen};
+use super::{Listener, StandinBody, add_unknown_header, build_response, serve};
 use crate::platform::names;
 
-/// Pause between two events of an engine, short so that tests need not wait.
-const EVENT_EVERY: Duration = Duration::from_millis(25);
-/// How long a copy of memory takes.
-const COPY_TAKES: Duration = Duration::from_millis(40);
+/// Interval between two events of an engine; short, so that tests run quickly.
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
+/// Duration of a memory copy.
+const COPY_DURATION: Duration = Duration::from_millis(40);
 
-/// How late an answer is that comes late: many times what an answer takes otherwise.
-pub const LATE_BY: Duration = Duration::from_millis(700);
+/// Delay of [`ServerFault::RespondsLate`]: many times the usual response time.
+pub const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(700);
 
-/// What a server is.
+/// Kind of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerKind {
-    /// Answers a call as a whole.
+    /// Returns one complete response per call.
     Plain,
-    /// Streams events. The last part of the path tells how many.
+    /// Streams events; the last segment of the request path is their number.
     Engine,
 }
 
-/// What a server does wrong.
+/// Injected fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServerFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
     /// Refuses each request before it runs.
     Refuses,
-    /// Runs each request and closes the connection in place of an answer.
+    /// Runs each request and closes the connection instead of responding.
     RunsAndCloses,
-    /// Runs each request and says nothing.
+    /// Runs each request and never responds.
     RunsAndHangs,
-    /// Takes [`LATE_BY`] before each answer.
-    AnswersLate,
-    /// Answers with the id of another request.
-    Crosses,
-    /// Answers 500.
-    Fails,
-    /// Leaves out its proof.
+    /// Delays each response by [`LATE_RESPONSE_DELAY`].
+    RespondsLate,
+    /// Responds with the id of another request.
+    WrongRequestId,
+    /// Responds with status 500.
+    InternalError,
+    /// Omits the response seal.
     Unsealed,
-    /// Refuses to take in copies of memory.
-    NoRoom,
-    /// Takes in copies of memory and refuses to go on from them.
+    /// Refuses to receive memory copies.
+    RefusesCopies,
+    /// Receives memory copies and refuses to continue from them.
     DropsCopies,
-    /// Another server has its address and answers that it is not the one expected.
+    /// Responds with status 421, as if another server had taken over its address.
     Misdirects,
 }
 
-/// What a server says of itself in its answers.
+/// Endpoint signals that a server adds to its responses.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-struct Word {
-    /// Text of the header that tells that it leaves, where it tells.
-    leaving: Option<&'static str>,
-    /// For how long it asks those that it refuses to send it nothing, as it stands in the header.
-    rest: Option<&'static str>,
-    /// Text of the header that names a limit, where it names one.
+struct ResponseSignals {
+    /// Value of the draining header; `None` omits it.
+    draining: Option<&'static str>,
+    /// Value of the `Retry-After` header on refusals, which asks for a cooldown; `None` omits it.
+    cooldown: Option<&'static str>,
+    /// Value of the limit header; `None` omits it.
     limit: Option<String>,
-    /// A header that no page names.
-    unknown: Option<&'static str>,
+    /// Name of an undocumented header; `None` omits it.
+    unknown_header: Option<&'static str>,
 }
 
-impl Word {
+impl ResponseSignals {
     fn add_to(&self, response: &mut Response<StandinBody>) {
-        add_unknown(self.unknown, response);
-        let refused = response.status() == http::StatusCode::SERVICE_UNAVAILABLE;
+        add_unknown_header(self.unknown_header, response);
+        let is_refusal = response.status() == http::StatusCode::SERVICE_UNAVAILABLE;
         let headers = response.headers_mut();
-        if let Some(text) = self.leaving {
+        if let Some(text) = self.draining {
             headers.insert(names::LEAVING, http::HeaderValue::from_static(text));
         }
         if let Some(limit) = self.limit.as_deref().and_then(|text| text.parse().ok()) {
             headers.insert(names::LIMIT, limit);
         }
-        if let Some(text) = self.rest.filter(|_| refused) {
+        if let Some(text) = self.cooldown.filter(|_| is_refusal) {
             headers.insert(RETRY_AFTER, http::HeaderValue::from_static(text));
         }
     }
 }
 
-/// A request that reached a server, and what the answer said of the server.
+/// A request that reached a server, with the endpoint signals of its response.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// The server.
+    /// Server id.
     pub server: String,
-    /// The request.
+    /// Request id.
     pub request: String,
-    /// When it came.
+    /// Time at which it arrived.
     pub at: Instant,
-    /// Whether the answer said that the server leaves.
-    pub said_leaving: bool,
-    /// Until when the answer asked for rest, where it did.
-    pub rest_until: Option<Instant>,
+    /// Whether the response announced that the server drains.
+    pub announced_draining: bool,
+    /// End of the cooldown that the response asked for, if any.
+    pub cooldown_until: Option<Instant>,
 }
 
-/// A generation should go on from a copy that is not there.
-struct NoSuchCopy;
+/// Error: the memory copy to continue from does not exist.
+struct CopyNotFound;
 
-/// A generation on an engine.
+/// A generation that runs on an engine.
 #[derive(Debug, Default)]
 struct EngineRun {
-    /// Events made; shared with its stream.
-    made: AtomicU32,
-    stopped: Notify,
-    stop: AtomicBool,
+    /// Number of generated events; shared with the event stream.
+    generated_events: AtomicU32,
+    stop_signal: Notify,
+    stop_requested: AtomicBool,
 }
 
-/// A server.
+/// A plain server or an engine.
 pub struct Server {
-    /// Names this start.
+    /// Id of this incarnation.
     pub id: String,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
     kind: ServerKind,
     fault: Mutex<ServerFault>,
-    /// Whether it survives what others crash on.
-    mended: AtomicBool,
-    /// What all its answers say of it, beside the matter asked.
-    word: Mutex<Word>,
-    /// When requests came, whatever they asked for.
-    reached_at: Mutex<Vec<Instant>>,
-    listening: Mutex<Option<Listening>>,
+    /// Whether it survives the requests that crash other servers.
+    crash_proof: AtomicBool,
+    /// Endpoint signals that are added to all responses.
+    signals: Mutex<ResponseSignals>,
+    /// Arrival times of all requests, queries and orders included.
+    arrival_times: Mutex<Vec<Instant>>,
+    listener: Mutex<Option<Listener>>,
     address: std::sync::OnceLock<SocketAddr>,
-    /// Where callers find it, where that is not where it listens: a proxy stands before it.
-    listed: std::sync::OnceLock<SocketAddr>,
-    servers: std::sync::Weak<Servers>,
+    /// Address in its entry, if it differs from the listen address because a proxy is in front.
+    listed_address: std::sync::OnceLock<SocketAddr>,
+    servers: std::sync::Weak<ServerRegistry>,
     running: Mutex<HashMap<String, Arc<EngineRun>>>,
-    /// Heads of the requests that it got, by request id.
-    heads: Mutex<HashMap<String, HeaderMap>>,
+    /// Headers of the received requests, by request id.
+    headers_by_request: Mutex<HashMap<String, HeaderMap>>,
 }
 
-/// All servers, and what ran on them.
+/// All servers, with the requests that they received and ran.
 #[derive(Default)]
-pub struct Servers {
+pub struct ServerRegistry {
     by_address: Mutex<HashMap<SocketAddr, Arc<Server>>>,
-    /// Server and request, in order.
+    /// Server id and request id of each run, in order.
     runs: Mutex<Vec<(String, String)>>,
-    /// Copies by the address they are named after and their name: events made when the copy was taken.
+    /// Memory copies by source address and handle; the value is the number of events generated at
+    /// the copy.
     copies: Mutex<HashMap<(SocketAddr, String), u32>>,
-    started: AtomicU32,
-    /// Requests in the order in which they were answered.
+    started_count: AtomicU32,
+    /// Requests, in the order in which they were answered.
     arrivals: Mutex<Vec<Arrival>>,
-    /// Bodies under which a server crashes.
-    crash_on: Mutex<Vec<&'static [u8]>>,
-    /// Servers that crashed, in order.
+    /// Request bodies that crash a server.
+    crashing_bodies: Mutex<Vec<&'static [u8]>>,
+    /// Ids of the crashed servers, in order.
     crashed: Mutex<Vec<String>>,
 }
 
-impl Servers {
+impl ServerRegistry {
     pub(super) async fn start(
         self: &Arc<Self>,
         service: &str,
         kind: ServerKind,
     ) -> std::io::Result<Arc<Server>> {
-        let number = self.started.fetch_add(1, Ordering::Relaxed);
+        let number = self.started_count.fetch_add(1, Ordering::Relaxed);
         let server = Arc::new(Server {
             id: format!("i-{number}"),
             service: service.to_owned(),
             kind,
             fault: Mutex::default(),
-            mended: AtomicBool::new(false),
-            word: Mutex::default(),
-            reached_at: Mutex::default(),
-            listening: Mutex::default(),
+            crash_proof: AtomicBool::new(false),
+            signals: Mutex::default(),
+            arrival_times: Mutex::default(),
+            listener: Mutex::default(),
             address: std::sync::OnceLock::new(),
-            listed: std::sync::OnceLock::new(),
+            listed_address: std::sync::OnceLock::new(),
             servers: Arc::downgrade(self),
             running: Mutex::default(),
-            heads: Mutex::default(),
+            headers_by_request: Mutex::default(),
         });
-        let handled_by = server.clone();
-        let listening = listen(move |request| {
-            let server = handled_by.clone();
-            async move { server.answer_with_word(request).await }
+        let handler_server = server.clone();
+        let listener = serve(move |request| {
+            let server = handler_server.clone();
+            async move { server.handle_with_signals(request).await }
         })
         .await?;
-        let address = listening.address;
+        let address = listener.address;
         server.address.get_or_init(|| address);
-        *server.listening.lock() = Some(listening);
+        *server.listener.lock() = Some(listener);
         self.by_address.lock().insert(address, server.clone());
         Ok(server)
     }
 
-    pub(super) fn crash_on(&self, body: &'static [u8]) {
-        self.crash_on.lock().push(body);
+    pub(super) fn add_crashing_body(&self, body: &'static [u8]) {
+        self.crashing_bodies.lock().push(body);
     }
 
-    pub(super) fn crashed(&self) -> Vec<String> {
+    pub(super) fn crashed_ids(&self) -> Vec<String> {
         self.crashed.lock().clone()
     }
 
@@ -210,179 +212,190 @@
     }
 
     fn crashes_on(&self, body: &[u8]) -> bool {
-        self.crash_on.lock().contains(&body)
+        self.crashing_bodies.lock().contains(&body)
     }
 
-    pub(super) fn runs_of(&self, request: &str) -> Vec<String> {
+    pub(super) fn servers_that_ran(&self, request: &str) -> Vec<String> {
         let runs = self.runs.lock();
         let of_request = runs.iter().filter(|(_, run)| run == request);
         of_request.map(|(server, _)| server.clone()).collect()
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// An answer with what shows that it is the server's own.
-fn sealed(mut response: Response<StandinBody>, id: &str) -> Response<StandinBody> {
+/// Adds the request id and the seal, which show that the server itself sent the response.
+fn with_seal(mut response: Response<StandinBody>, id: &str) -> Response<StandinBody> {
     let headers = response.headers_mut();
-    headers.insert(names::REQUEST_ID, id.parse().expect("an id"));
+    headers.insert(names::REQUEST_ID, id.parse().expect("a valid header value"));
     headers.insert(names::SEAL, http::HeaderValue::from_static("seal"));
     response
 }
 
-fn not_run(status: u16) -> Response<StandinBody> {
-    let mut refused = answer(status, "not run");
+/// Returns a refusal with the header that says that the request did not run.
+fn not_run_response(status: u16) -> Response<StandinBody> {
+    let mut refusal = build_response(status, "not run");
     let yes = http::HeaderValue::from_static("1");
-    refused.headers_mut().insert(names::NOT_RUN, yes);
-    refused
+    refusal.headers_mut().insert(names::NOT_RUN, yes);
+    refusal
 }
 
 impl Server {
-    /// Where it listens.
+    /// Returns the address on which it listens.
     #[must_use]
-    pub fn own_address(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         *self
             .address
             .get_or_init(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    /// Requests that reached it, refused ones included; one that came twice counts once.
+    /// Returns the number of requests that reached it, refused ones included.
+    ///
+    /// A request that was sent twice counts once.
     #[must_use]
-    pub fn requests(&self) -> usize {
-        self.heads.lock().len()
+    pub fn request_count(&self) -> usize {
+        self.headers_by_request.lock().len()
     }
 
-    /// Most requests of any kind, questions and orders included, that reached it within such a span that began after then.
+    /// Returns the maximum number of requests within any span of this length that starts after
+    /// `after`.
+    ///
+    /// All requests count, queries and orders included.
     #[must_use]
-    pub fn most_within(&self, span: Duration, after: Instant) -> usize {
-        let reached_at = self.reached_at.lock();
-        let counted: Vec<Instant> = reached_at
+    pub fn max_requests_within(&self, span: Duration, after: Instant) -> usize {
+        let arrival_times = self.arrival_times.lock();
+        let times: Vec<Instant> = arrival_times
             .iter()
             .copied()
             .filter(|at| *at > after)
             .collect();
-        let within = |first: &Instant| {
-            let last = *first + span;
-            counted
+        let count_from = |first: &Instant| {
+            let end = *first + span;
+            times
                 .iter()
-                .filter(|at| (*first..last).contains(*at))
+                .filter(|at| (*first..end).contains(*at))
                 .count()
         };
-        counted.iter().map(within).max().unwrap_or_default()
+        times.iter().map(count_from).max().unwrap_or_default()
     }
 
-    /// Where callers find it.
+    /// Returns the address at which callers reach it.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
-        self.listed
+        self.listed_address
             .get()
             .copied()
-            .unwrap_or_else(|| self.own_address())
+            .unwrap_or_else(|| self.listen_address())
     }
 
-    /// Has callers find it at another address from now on; once at most.
-    pub fn list_at(self: &Arc<Self>, address: SocketAddr) {
-        self.listed.get_or_init(|| address);
+    /// Sets the address at which callers reach it; further calls have no effect.
+    pub fn set_listed_address(self: &Arc<Self>, address: SocketAddr) {
+        self.listed_address.get_or_init(|| address);
         if let Some(servers) = self.servers.upgrade() {
             servers.by_address.lock().insert(address, self.clone());
         }
     }
 
-    /// Requests that it works on at once.
+    /// Returns the number of requests that it can run concurrently.
     #[must_use]
     pub fn slots(&self) -> u32 {
         24
     }
 
-    /// Changes what it does wrong.
+    /// Sets the injected fault.
     pub fn set_fault(&self, fault: ServerFault) {
         *self.fault.lock() = fault;
     }
 
-    /// Has it survive what others crash on.
-    pub fn mend(&self) {
-        self.mended.store(true, Ordering::Relaxed);
+    /// Makes it survive the requests that crash other servers.
+    pub fn make_crash_proof(&self) {
+        self.crash_proof.store(true, Ordering::Relaxed);
     }
 
-    /// Has all its answers say that it leaves, whatever its entry says.
-    pub fn say_leaving(&self, text: &'static str) {
-        self.word.lock().leaving = Some(text);
+    /// Adds the draining header to all responses, whatever its entry says.
+    pub fn announce_draining(&self, value: &'static str) {
+        self.signals.lock().draining = Some(value);
     }
 
-    /// Has each refusal ask for so many seconds without a request, or for none.
-    pub fn ask_for_rest(&self, seconds: Option<&'static str>) {
-        self.word.lock().rest = seconds;
+    /// Sets the cooldown in seconds that each refusal asks for; `None` omits the header.
+    pub fn set_cooldown(&self, seconds: Option<&'static str>) {
+        self.signals.lock().cooldown = seconds;
     }
 
-    /// Has all its answers name how many requests a second it takes from all instances together, or nothing.
-    pub fn name_limit(&self, per_s: Option<&str>) {
-        self.word.lock().limit = per_s.map(str::to_owned);
+    /// Sets the limit that all responses announce; `None` omits the header.
+    ///
+    /// The limit is the number of requests per second that it accepts from all instances together.
+    pub fn announce_limit(&self, per_s: Option<&str>) {
+        self.signals.lock().limit = per_s.map(str::to_owned);
     }
 
-    /// Has all its answers carry a header that no page names.
-    pub fn say_unknown(&self, header: &'static str) {
-        self.word.lock().unknown = Some(header);
+    /// Adds an undocumented header to all responses.
+    pub fn add_unknown_header(&self, header: &'static str) {
+        self.signals.lock().unknown_header = Some(header);
     }
 
-    /// Ends it: its address refuses connections, and the open ones are cut.
+    /// Stops it: its address refuses connections, and open connections are cut.
     pub fn kill(&self) {
-        self.listening.lock().take();
+        self.listener.lock().take();
     }
 
-    /// Generations that it runs.
+    /// Returns the number of generations that it runs.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.lock().len()
     }
 
-    /// Head of a request as it came here.
+    /// Returns the headers of a request as received.
     #[must_use]
-    pub fn head_of(&self, request: &str) -> Option<HeaderMap> {
-        self.heads.lock().get(request).cloned()
+    pub fn request_headers(&self, request: &str) -> Option<HeaderMap> {
+        self.headers_by_request.lock().get(request).cloned()
     }
 
-    async fn answer_with_word(
+    async fn handle_with_signals(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Response<StandinBody> {
-        let id = text(request.headers(), &names::REQUEST_ID).map(str::to_owned);
+        let id = header_text(request.headers(), &names::REQUEST_ID).map(str::to_owned);
         let at = Instant::now();
-        self.reached_at.lock().push(at);
-        let mut answered = self.clone().answer(request).await;
-        let word = self.word.lock().clone();
-        word.add_to(&mut answered);
+        self.arrival_times.lock().push(at);
+        let mut response = self.clone().handle(request).await;
+        let signals = self.signals.lock().clone();
+        signals.add_to(&mut response);
         if let (Some(request), Some(servers)) = (id, self.servers.upgrade()) {
-            let rest = text(answered.headers(), &RETRY_AFTER);
-            let rest = rest.and_then(|text| text.parse().ok());
+            let cooldown = header_text(response.headers(), &RETRY_AFTER);
+            let cooldown = cooldown.and_then(|text| text.parse().ok());
             servers.arrivals.lock().push(Arrival {
                 server: self.id.clone(),
                 request,
                 at,
-                said_leaving: word.leaving.is_some(),
-                rest_until: rest.map(|seconds| Instant::now() + Duration::from_secs_f64(seconds)),
+                announced_draining: signals.draining.is_some(),
+                cooldown_until: cooldown
+                    .map(|seconds| Instant::now() + Duration::from_secs_f64(seconds)),
             });
         }
-        answered
+        response
     }
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<StandinBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<StandinBody> {
         let path = request.uri().path().to_owned();
         match path.as_str() {
-            names::MOVE_PATH => return self.copy_run(request).await,
-            names::REPORT_PATH => return answer(200, self.report().to_string()),
+            names::MOVE_PATH => return self.copy_memory(request).await,
+            names::REPORT_PATH => return build_response(200, self.run_report().to_string()),
             _ => {}
         }
         let headers = request.headers().clone();
-        let id = text(&headers, &names::REQUEST_ID)
+        let id = header_text(&headers, &names::REQUEST_ID)
             .unwrap_or_default()
             .to_owned();
-        self.heads.lock().insert(id.clone(), headers.clone());
-        let expected = text(&headers, &names::EXPECTED_ENDPOINT);
-        let misdirects = *self.fault.lock() == ServerFault::Misdirects;
-        if misdirects || expected.is_some_and(|expected| expected != self.id) {
-            return answer(421, "another server");
+        self.headers_by_request
+            .lock()
+            .insert(id.clone(), headers.clone());
+        let expected = header_text(&headers, &names::EXPECTED_ENDPOINT);
+        let is_misdirected = *self.fault.lock() == ServerFault::Misdirects;
+        if is_misdirected || expected.is_some_and(|expected| expected != self.id) {
+            return build_response(421, "another server");
         }
         let body = request.into_body().collect().await;
         let body = body
@@ -390,96 +403,103 @@
             .unwrap_or_default();
         let fault = *self.fault.lock();
         if fault == ServerFault::Refuses {
-            return not_run(503);
+            return not_run_response(503);
         }
-        let from = match self.continued_from(&headers) {
-            Ok(Some(_)) if fault == ServerFault::DropsCopies => return not_run(503),
+        let from = match self.resume_from(&headers) {
+            Ok(Some(_)) if fault == ServerFault::DropsCopies => return not_run_response(503),
             Ok(from) => from,
-            Err(NoSuchCopy) => return not_run(503),
+            Err(CopyNotFound) => return not_run_response(503),
         };
         let Some(servers) = self.servers.upgrade() else {
-            return answer(500, "the stand-in has ended");
+            return build_response(500, "the stand-in has ended");
         };
         if from.is_none() {
             servers.runs.lock().push((self.id.clone(), id.clone()));
         }
-        if servers.crashes_on(&body) && !self.mended.load(Ordering::Relaxed) {
+        if servers.crashes_on(&body) && !self.crash_proof.load(Ordering::Relaxed) {
             servers.crashed.lock().push(self.id.clone());
             return self.crash(&id).await;
         }
         match fault {
             ServerFault::RunsAndHangs => std::future::pending().await,
-            ServerFault::AnswersLate => tokio::time::sleep(LATE_BY).await,
+            ServerFault::RespondsLate => tokio::time::sleep(LATE_RESPONSE_DELAY).await,
             ServerFault::RunsAndCloses => {
-                let cut = futures::future::ready(Err(std::io::Error::other("cut")));
-                let frames = stream::once(cut);
+                let error = futures::future::ready(Err(std::io::Error::other("connection cut")));
+                let frames = stream::once(error);
                 return Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)));
             }
             _ => {}
         }
         match self.kind {
-            ServerKind::Plain => Self::plain(&id, fault, &body),
+            ServerKind::Plain => Self::plain_response(&id, fault, &body),
             ServerKind::Engine => {
                 let from = from.unwrap_or_else(|| last_event(&headers));
-                self.stream(&id, &path, from)
+                self.event_stream(&id, &path, from)
             }
         }
     }
 
-    /// Ends in the middle of an answer: a plain server before its head, an engine after it.
+    /// Crashes while it responds: a plain server before the response head, an engine after it.
     async fn crash(self: Arc<Self>, id: &str) -> Response<StandinBody> {
         if self.kind == ServerKind::Plain {
-            self.end().await;
+            self.crash_listener().await;
             return std::future::pending().await;
         }
         let crashing = stream::once(async move {
-            tokio::time::sleep(EVENT_EVERY).await;
-            self.end().await;
+            tokio::time::sleep(EVENT_INTERVAL).await;
+            self.crash_listener().await;
             std::future::pending().await
         });
         let body = BodyExt::boxed_unsync(StreamBody::new(crashing));
-        sealed(Response::new(body), id)
+        with_seal(Response::new(body), id)
     }
 
-    async fn end(&self) {
-        let listening = self.listening.lock().take();
-        if let Some(listening) = listening {
-            listening.end().await;
+    async fn crash_listener(&self) {
+        let listener = self.listener.lock().take();
+        if let Some(listener) = listener {
+            listener.crash().await;
         }
     }
 
-    fn report(&self) -> Value {
+    fn run_report(&self) -> Value {
         let running = self.running.lock();
         let runs = running.iter();
         let runs: Vec<Value> = runs
-            .map(|(id, run)| json!([id, 1_000, run.made.load(Ordering::Relaxed), 5]))
+            .map(|(id, run)| json!([id, 1_000, run.generated_events.load(Ordering::Relaxed), 5]))
             .collect();
         json!({"state": "ready", "queued": 0, "runs": runs})
     }
 
-    fn plain(id: &str, fault: ServerFault, body: &Bytes) -> Response<StandinBody> {
-        let status = if fault == ServerFault::Fails {
+    fn plain_response(id: &str, fault: ServerFault, body: &Bytes) -> Response<StandinBody> {
+        let status = if fault == ServerFault::InternalError {
             500
         } else {
             200
         };
-        let mut answered = answer(status, body.clone());
-        let echoed = if fault == ServerFault::Crosses {
+        let mut response = build_response(status, body.clone());
+        let echoed_id = if fault == ServerFault::WrongRequestId {
             "other"
         } else {
             id
         };
-        let headers = answered.headers_mut();
-        headers.insert(names::REQUEST_ID, echoed.parse().expect("an id"));
+        let headers = response.headers_mut();
+        headers.insert(
+            names::REQUEST_ID,
+            echoed_id.parse().expect("a valid header value"),
+        );
         if fault != ServerFault::Unsealed {
             headers.insert(names::SEAL, http::HeaderValue::from_static("seal"));
         }
-        answered
+        response
     }
 
-    /// The number of the last event before the first one to make; an error where there is no such copy.
-    fn continued_from(&self, headers: &HeaderMap) -> Result<Option<u32>, NoSuchCopy> {
-        let Some(from) = text(headers, &names::CONTINUE_FROM) else {
+    /// Returns the number of the last event that the caller has, if a memory copy is to be
+    /// continued.
+    ///
+    /// # Errors
+    /// Fails if there is no such copy.
+    fn resume_from(&self, headers: &HeaderMap) -> Result<Option<u32>, CopyNotFound> {
+        let Some(from) = header_text(headers, &names::CONTINUE_FROM) else {
             return Ok(None);
         };
         let copy = from.split_once('/').and_then(|(address, name)| {
@@ -493,32 +513,32 @@
             }
         });
         if copy.is_none() {
-            return Err(NoSuchCopy);
+            return Err(CopyNotFound);
         }
         Ok(Some(last_event(headers)))
     }
 
-    fn stream(self: &Arc<Self>, id: &str, path: &str, from: u32) -> Response<StandinBody> {
-        let events = path.rsplit('/').next().and_then(|last| last.parse().ok());
-        let events: u32 = events.unwrap_or(1);
+    fn event_stream(self: &Arc<Self>, id: &str, path: &str, from: u32) -> Response<StandinBody> {
+        let event_count = path.rsplit('/').next().and_then(|last| last.parse().ok());
+        let event_count: u32 = event_count.unwrap_or(1);
         let run = Arc::new(EngineRun::default());
-        run.made.store(from, Ordering::Relaxed);
+        run.generated_events.store(from, Ordering::Relaxed);
         self.running.lock().insert(id.to_owned(), run.clone());
-        let making = Making {
+        let event_stream = EventStream {
             server: self.clone(),
             id: id.to_owned(),
             run,
             next: from + 1,
-            events,
+            event_count,
         };
-        let frames = stream::unfold(making, |mut making| async {
-            making.event().await.map(|frame| (frame, making))
+        let frames = stream::unfold(event_stream, |mut events| async {
+            events.next_event().await.map(|frame| (frame, events))
         });
         let body = BodyExt::boxed_unsync(StreamBody::new(frames));
-        sealed(Response::new(body), id)
+        with_seal(Response::new(body), id)
     }
 
-    async fn copy_run(&self, request: Request<Incoming>) -> Response<StandinBody> {
+    async fn copy_memory(&self, request: Request<Incoming>) -> Response<StandinBody> {
         let body = request.into_body().collect().await;
         let body = body
             .map(http_body_util::Collected::to_bytes)
@@ -527,67 +547,70 @@
         let id = order["id"].as_str().unwrap_or_default().to_owned();
         let run = self.running.lock().get(&id).cloned();
         let (Some(run), Some(servers)) = (run, self.servers.upgrade()) else {
-            return answer(404, "no such run");
+            return build_response(404, "no such run");
         };
         let target = order["target-version"]
             .as_str()
             .and_then(|text| text.parse().ok());
         let target: Option<Arc<Server>> =
             target.and_then(|address: SocketAddr| servers.by_address.lock().get(&address).cloned());
-        if target.is_none_or(|target| *target.fault.lock() == ServerFault::NoRoom) {
-            return answer(503, "no room");
+        if target.is_none_or(|target| *target.fault.lock() == ServerFault::RefusesCopies) {
+            return build_response(503, "no room");
         }
-        let stop = order["last"].as_bool().unwrap_or_default();
-        if stop {
-            run.stop.store(true, Ordering::Relaxed);
-            run.stopped.notify_waiters();
+        let is_last = order["last"].as_bool().unwrap_or_default();
+        if is_last {
+            run.stop_requested.store(true, Ordering::Relaxed);
+            run.stop_signal.notify_waiters();
         }
-        tokio::time::sleep(COPY_TAKES).await;
-        let made = run.made.load(Ordering::Relaxed);
+        tokio::time::sleep(COPY_DURATION).await;
+        let generated_events = run.generated_events.load(Ordering::Relaxed);
         let handle = format!("h-{id}");
         let mut copies = servers.copies.lock();
-        copies.insert((self.address(), handle.clone()), made);
-        answer(200, json!({"handle": handle, "made": made}).to_string())
+        copies.insert((self.address(), handle.clone()), generated_events);
+        build_response(
+            200,
+            json!({"handle": handle, "made": generated_events}).to_string(),
+        )
     }
 }
 
-/// Number of the last event that the caller has; 0 where it has none.
+/// Returns the number of the last event that the caller has; 0 if it has none.
 fn last_event(headers: &HeaderMap) -> u32 {
-    let id = text(headers, &names::LAST_EVENT_ID);
+    let id = header_text(headers, &names::LAST_EVENT_ID);
     id.and_then(|id| id.parse().ok()).unwrap_or_default()
 }
 
-/// A stream of events in the making.
-struct Making {
+/// State of an event stream that is being generated.
+struct EventStream {
     server: Arc<Server>,
     id: String,
     run: Arc<EngineRun>,
     next: u32,
-    events: u32,
+    event_count: u32,
 }
 
-impl Making {
-    async fn event(&mut self) -> Option<std::io::Result<Frame<Bytes>>> {
-        if self.next > self.events {
+impl EventStream {
+    async fn next_event(&mut self) -> Option<std::io::Result<Frame<Bytes>>> {
+        if self.next > self.event_count {
             return None;
         }
-        let stopped = self.run.stopped.notified();
+        let stopped = self.run.stop_signal.notified();
         tokio::select! {
-            () = tokio::time::sleep(EVENT_EVERY) => {}
+            () = tokio::time::sleep(EVENT_INTERVAL) => {}
             () = stopped => {}
         }
-        if self.run.stop.load(Ordering::Relaxed) {
-            return Some(Err(std::io::Error::other("stopped")));
+        if self.run.stop_requested.load(Ordering::Relaxed) {
+            return Some(Err(std::io::Error::other("generation stopped")));
         }
         let number = self.next;
         self.next += 1;
-        self.run.made.store(number, Ordering::Relaxed);
+        self.run.generated_events.store(number, Ordering::Relaxed);
         let event = format!("id: {number}\ndata: event {number} of {}\n\n", self.id);
         Some(Ok(Frame::data(Bytes::from(event))))
     }
 }
 
-impl Drop for Making {
+impl Drop for EventStream {
     fn drop(&mut self) {
         self.server.running.lock().remove(&self.id);
     }
--- a/src/standin/site/store.rs
+++ b/src/standin/site/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in's store: topics whose newest record of each key is kept, with long reads and faults.
+//! Store of the stand-in platform: compacted topics with long-poll reads and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,21 +13,21 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use super::{StandinBody, add_unknown, answer};
+use super::{StandinBody, add_unknown_header, build_response};
 use crate::platform::names::{STORE_APPEND_PATH, STORE_ERA, STORE_NEWEST_PATH, STORE_READ_PATH};
 
-/// What the store does with calls.
+/// Injected fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum StoreMood {
-    /// Answers them.
+pub enum StoreFault {
+    /// No fault.
     #[default]
-    Sound,
-    /// Answers 503; nothing is done.
+    None,
+    /// Responds with status 503 and executes nothing.
     Busy,
-    /// Says nothing.
-    Silent,
-    /// Does what appends ask for and does not answer them.
-    LosesAnswers,
+    /// Never responds and executes nothing.
+    Unresponsive,
+    /// Executes appends and never responds to them.
+    LosesAppendReplies,
 }
 
 #[derive(Debug, Clone)]
@@ -39,20 +39,20 @@
 #[derive(Debug, Clone, Default)]
 struct Topic {
     records: Vec<Record>,
-    /// Records before this offset are gone from reads.
-    first: usize,
-    /// Records before this offset are of the copy that it came back from.
-    copied: usize,
+    /// Offset before which records can no longer be read.
+    first_offset: usize,
+    /// Offset before which records come from the snapshot that was restored.
+    restored_end: usize,
 }
 
-/// What the store held at some time.
+/// Contents of the store at one time.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     topics: HashMap<String, Topic>,
 }
 
-impl StoreCopy {
-    /// Adds the record of a key: written again right after the return, before anybody reads.
+impl StoreSnapshot {
+    /// Appends a record, as if it were rewritten after the restore and before the first read.
     pub fn put(&mut self, topic: &str, key: &str, value: &Value) {
         let topic = self.topics.entry(topic.to_owned()).or_default();
         topic.records.push(Record {
@@ -62,22 +62,22 @@
     }
 }
 
-/// The store.
+/// In-memory log store.
 #[derive(Debug, Default)]
 pub struct LogStore {
     topics: Mutex<HashMap<String, Topic>>,
-    mood: Mutex<StoreMood>,
-    /// Times it came back from a copy.
+    fault: Mutex<StoreFault>,
+    /// Number of times that a snapshot was restored.
     era: AtomicU64,
-    /// What it tells in place of its era.
-    told_era: Mutex<Option<&'static str>>,
-    /// A header that no page names, in all answers.
-    unknown: Mutex<Option<&'static str>>,
-    calls: Mutex<BTreeMap<String, u32>>,
-    added: Notify,
+    /// Value of the era header that replaces the true era.
+    era_override: Mutex<Option<&'static str>>,
+    /// Name of an undocumented header that is added to all responses.
+    unknown_header: Mutex<Option<&'static str>>,
+    calls_by_path: Mutex<BTreeMap<String, u32>>,
+    records_added: Notify,
 }
 
-fn query(request: &Request<Incoming>) -> HashMap<String, String> {
+fn query_parameters(request: &Request<Incoming>) -> HashMap<String, String> {
     let query = request.uri().query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
@@ -85,20 +85,20 @@
         .collect()
 }
 
-fn number(query: &HashMap<String, String>, name: &str) -> u64 {
+fn query_number(query: &HashMap<String, String>, name: &str) -> u64 {
     let value = query.get(name).and_then(|text| text.parse().ok());
     value.unwrap_or_default()
 }
 
 impl LogStore {
-    /// Has all its answers carry a header that no page names.
-    pub fn say_unknown(&self, header: &'static str) {
-        *self.unknown.lock() = Some(header);
+    /// Adds an undocumented header to all responses.
+    pub fn add_unknown_header(&self, header: &'static str) {
+        *self.unknown_header.lock() = Some(header);
     }
 
-    /// Changes what the store does with calls from now on.
-    pub fn set_mood(&self, mood: StoreMood) {
-        *self.mood.lock() = mood;
+    /// Sets the injected fault.
+    pub fn set_fault(&self, fault: StoreFault) {
+        *self.fault.lock() = fault;
     }
 
     /// Writes the record of a key.
@@ -106,81 +106,96 @@
         self.append(topic, key, value.to_string().into_bytes());
     }
 
-    /// Writes the record of a key as it is, readable or not.
-    pub fn put_bytes(&self, topic: &str, key: &str, value: &[u8]) {
+    /// Writes the record of a key as raw bytes, valid or not.
+    pub fn put_raw(&self, topic: &str, key: &str, value: &[u8]) {
         self.append(topic, key, value.to_vec());
     }
 
-    /// Drops a key.
-    pub fn drop_key(&self, topic: &str, key: &str) {
+    /// Deletes a key.
+    pub fn delete(&self, topic: &str, key: &str) {
         self.append(topic, key, Vec::new());
     }
 
-    /// Forgets the history of a topic; the newest record of each key stays.
+    /// Compacts a topic: its history can no longer be read, the latest record of each key can.
     pub fn compact(&self, topic: &str) {
         let mut topics = self.topics.lock();
         if let Some(topic) = topics.get_mut(topic) {
-            topic.first = topic.records.len();
+            topic.first_offset = topic.records.len();
         }
         drop(topics);
-        self.added.notify_waiters();
+        self.records_added.notify_waiters();
     }
 
-    /// Tells an era as it stands in the header, whatever it is; nothing for the true one.
-    pub fn tell_era(&self, text: Option<&'static str>) {
-        *self.told_era.lock() = text;
+    /// Replaces the value of the era header; `None` restores the true era.
+    pub fn override_era(&self, value: Option<&'static str>) {
+        *self.era_override.lock() = value;
     }
 
-    /// A copy of all that it holds.
+    /// Returns a snapshot of its contents.
     #[must_use]
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             topics: self.topics.lock().clone(),
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its offsets are given out again. Gives what it held before.
-    pub fn come_back_from(&self, copy: StoreCopy) -> StoreCopy {
-        let mut copied = copy.topics;
-        for topic in copied.values_mut() {
-            topic.copied = topic.records.len();
+    /// Restores a snapshot; returns the contents from before.
+    ///
+    /// Later records are lost, and their offsets are assigned again.
+    pub fn restore(&self, snapshot: StoreSnapshot) -> StoreSnapshot {
+        let mut restored = snapshot.topics;
+        for topic in restored.values_mut() {
+            topic.restored_end = topic.records.len();
         }
-        let topics = std::mem::replace(&mut *self.topics.lock(), copied);
+        let topics = std::mem::replace(&mut *self.topics.lock(), restored);
         self.era.fetch_add(1, Ordering::Relaxed);
-        self.added.notify_waiters();
-        StoreCopy { topics }
+        self.records_added.notify_waiters();
+        StoreSnapshot { topics }
     }
 
-    /// The operator and the servers write again what they had written and the store holds no more, and drop again what they had dropped, but for what
-    /// they have written anew since.
-    pub fn write_again(&self, before: &StoreCopy) {
+    /// Repeats the writes and deletions of the operator and the servers that a restore has lost.
+    ///
+    /// Keys that were written since the restore are left as they are.
+    pub fn replay_lost_writes(&self, before: &StoreSnapshot) {
         for name in ["keyed.op", "keyed.servers"] {
-            let newest = |topics: &HashMap<String, Topic>| topics.get(name).map(Topic::newest);
-            let wanted = newest(&before.topics).unwrap_or_default();
-            let held = newest(&self.topics.lock()).unwrap_or_default();
-            let written = self.topics.lock().get(name).map(Topic::written_since_copy);
+            let latest =
+                |topics: &HashMap<String, Topic>| topics.get(name).map(Topic::latest_by_key);
+            let expected = latest(&before.topics).unwrap_or_default();
+            let current = latest(&self.topics.lock()).unwrap_or_default();
+            let written = self
+                .topics
+                .lock()
+                .get(name)
+                .map(Topic::keys_written_since_restore);
             let written = written.unwrap_or_default();
-            let mut keys: BTreeSet<&String> = wanted.keys().chain(held.keys()).collect();
-            keys.retain(|key| !written.contains(*key) && wanted.get(*key) != held.get(*key));
+            let mut keys: BTreeSet<&String> = expected.keys().chain(current.keys()).collect();
+            keys.retain(|key| !written.contains(*key) && expected.get(*key) != current.get(*key));
             for key in keys {
-                let value = wanted.get(key).cloned().unwrap_or_default();
+                let value = expected.get(key).cloned().unwrap_or_default();
                 self.append(name, key, value);
             }
         }
     }
 
-    /// Calls so far, by path.
+    /// Returns the number of calls to a path so far.
     #[must_use]
-    pub fn calls(&self, path: &str) -> u32 {
-        self.calls.lock().get(path).copied().unwrap_or_default()
+    pub fn call_count(&self, path: &str) -> u32 {
+        self.calls_by_path
+            .lock()
+            .get(path)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Keys of a topic that have a value.
+    /// Returns the keys of a topic that have a value.
     #[must_use]
     pub fn keys(&self, topic: &str) -> Vec<String> {
         let topics = self.topics.lock();
-        let newest = topics.get(topic).map(Topic::newest).unwrap_or_default();
-        newest.into_keys().collect()
+        let latest = topics
+            .get(topic)
+            .map(Topic::latest_by_key)
+            .unwrap_or_default();
+        latest.into_keys().collect()
     }
 
     fn append(&self, topic: &str, key: &str, value: Vec<u8>) {
@@ -192,85 +207,87 @@
         let topic = topics.entry(topic.to_owned()).or_default();
         topic.records.push(record);
         drop(topics);
-        self.added.notify_waiters();
+        self.records_added.notify_waiters();
     }
 
-    /// Answers a call.
-    pub async fn answer(&self, request: Request<Incoming>) -> Response<StandinBody> {
-        let mut answered = self.answer_call(request).await;
+    /// Handles a call.
+    pub async fn handle(&self, request: Request<Incoming>) -> Response<StandinBody> {
+        let mut response = self.handle_call(request).await;
         let era = self.era.load(Ordering::Relaxed);
-        let headers = answered.headers_mut();
-        let told = *self.told_era.lock();
-        let era = told.map_or_else(|| HeaderValue::from(era), HeaderValue::from_static);
+        let headers = response.headers_mut();
+        let era_override = *self.era_override.lock();
+        let era = era_override.map_or_else(|| HeaderValue::from(era), HeaderValue::from_static);
         headers.insert(STORE_ERA, era);
-        add_unknown(*self.unknown.lock(), &mut answered);
-        answered
+        add_unknown_header(*self.unknown_header.lock(), &mut response);
+        response
     }
 
-    async fn answer_call(&self, request: Request<Incoming>) -> Response<StandinBody> {
+    async fn handle_call(&self, request: Request<Incoming>) -> Response<StandinBody> {
         let path = request.uri().path().to_owned();
-        *self.calls.lock().entry(path.clone()).or_default() += 1;
-        let mood = *self.mood.lock();
-        match mood {
-            StoreMood::Busy => return answer(503, "busy"),
-            StoreMood::Silent => std::future::pending().await,
-            StoreMood::Sound | StoreMood::LosesAnswers => {}
+        *self.calls_by_path.lock().entry(path.clone()).or_default() += 1;
+        let fault = *self.fault.lock();
+        match fault {
+            StoreFault::Busy => return build_response(503, "busy"),
+            StoreFault::Unresponsive => std::future::pending().await,
+            StoreFault::None | StoreFault::LosesAppendReplies => {}
         }
         match path.as_str() {
-            STORE_NEWEST_PATH => self.newest(&query(&request)),
-            STORE_READ_PATH => self.read(&query(&request)).await,
+            STORE_NEWEST_PATH => self.read_latest(&query_parameters(&request)),
+            STORE_READ_PATH => self.read(&query_parameters(&request)).await,
             STORE_APPEND_PATH => {
-                self.take_append(request).await;
-                if mood == StoreMood::LosesAnswers {
+                self.handle_append(request).await;
+                if fault == StoreFault::LosesAppendReplies {
                     std::future::pending::<()>().await;
                 }
-                answer(200, json!({"offset": 0, "end": 1}).to_string())
+                build_response(200, json!({"offset": 0, "end": 1}).to_string())
             }
-            _ => answer(404, "no such call"),
+            _ => build_response(404, "no such call"),
         }
     }
 
-    fn newest(&self, query: &HashMap<String, String>) -> Response<StandinBody> {
+    fn read_latest(&self, query: &HashMap<String, String>) -> Response<StandinBody> {
         let topics = self.topics.lock();
         let empty = Topic::default();
         let topic = query.get("topic").and_then(|name| topics.get(name));
         let topic = topic.unwrap_or(&empty);
         let items: Vec<Value> = topic
-            .newest()
+            .latest_by_key()
             .into_iter()
             .map(|(key, value)| json!({"key": key, "value": STANDARD.encode(value), "offset": 0}))
             .collect();
         let page = json!({"items": items, "more": false, "end": topic.records.len()});
-        answer(200, page.to_string())
+        build_response(200, page.to_string())
     }
 
     async fn read(&self, query: &HashMap<String, String>) -> Response<StandinBody> {
-        let from = usize::try_from(number(query, "from")).unwrap_or(usize::MAX);
+        let from = usize::try_from(query_number(query, "from")).unwrap_or(usize::MAX);
         let name = query.get("topic").cloned().unwrap_or_default();
-        let wait = Duration::from_millis(number(query, "wait-ms"));
-        let until = tokio::time::Instant::now() + wait;
+        let wait = Duration::from_millis(query_number(query, "wait-ms"));
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
-            let added = self.added.notified();
+            let added = self.records_added.notified();
             {
                 let mut topics = self.topics.lock();
                 let topic = topics.entry(name.clone()).or_default();
-                if from < topic.first || from > topic.records.len() {
-                    return answer(410, json!({"first": topic.first}).to_string());
+                if from < topic.first_offset || from > topic.records.len() {
+                    return build_response(410, json!({"first": topic.first_offset}).to_string());
                 }
                 if topic.records.len() > from {
-                    return answer(200, topic.encode_from(from));
+                    return build_response(200, topic.encode_from(from));
                 }
             }
-            if tokio::time::timeout_at(until, added).await.is_err() {
+            if tokio::time::timeout_at(deadline, added).await.is_err() {
                 let mut topics = self.topics.lock();
                 let topic = topics.entry(name.clone()).or_default();
-                return answer(200, topic.encode_from(from));
+                return build_response(200, topic.encode_from(from));
             }
         }
     }
 
-    async fn take_append(&self, request: Request<Incoming>) {
-        let topic = query(&request).remove("topic").unwrap_or_default();
+    async fn handle_append(&self, request: Request<Incoming>) {
+        let topic = query_parameters(&request)
+            .remove("topic")
+            .unwrap_or_default();
         let Ok(body) = request.into_body().collect().await else {
             return;
         };
@@ -288,33 +305,33 @@
 }
 
 impl Topic {
-    fn newest(&self) -> BTreeMap<String, Vec<u8>> {
-        let mut newest = BTreeMap::new();
+    fn latest_by_key(&self) -> BTreeMap<String, Vec<u8>> {
+        let mut latest = BTreeMap::new();
         for record in &self.records {
             if record.value.is_empty() {
-                newest.remove(&record.key);
+                latest.remove(&record.key);
             } else {
-                newest.insert(record.key.clone(), record.value.clone());
+                latest.insert(record.key.clone(), record.value.clone());
             }
         }
-        newest
+        latest
     }
 
-    fn written_since_copy(&self) -> BTreeSet<String> {
-        let written = self.records.iter().skip(self.copied);
+    fn keys_written_since_restore(&self) -> BTreeSet<String> {
+        let written = self.records.iter().skip(self.restored_end);
         written.map(|record| record.key.clone()).collect()
     }
 
     fn encode_from(&self, from: usize) -> Vec<u8> {
         let mut body = Vec::new();
-        let offset = |number: usize| u64::try_from(number).unwrap_or(u64::MAX).to_be_bytes();
-        body.extend_from_slice(&offset(self.records.len()));
-        body.extend_from_slice(&offset(self.first));
+        let encode_offset = |number: usize| u64::try_from(number).unwrap_or(u64::MAX).to_be_bytes();
+        body.extend_from_slice(&encode_offset(self.records.len()));
+        body.extend_from_slice(&encode_offset(self.first_offset));
         for record in self.records.iter().skip(from) {
             let length = 1 + record.key.len() + record.value.len();
-            let length = u32::try_from(length).expect("records of tests are small");
+            let length = u32::try_from(length).expect("test records fit u32");
             body.extend_from_slice(&length.to_be_bytes());
-            body.push(u8::try_from(record.key.len()).expect("keys of tests are short"));
+            body.push(u8::try_from(record.key.len()).expect("test keys fit u8"));
             body.extend_from_slice(record.key.as_bytes());
             body.extend_from_slice(&record.value);
         }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -39,7 +39,7 @@
 impl CrashingSite {
     async fn start(apps: usize, engines: usize, instances: usize) -> Self {
         let site = RoutedSite::start(apps).await;
-        site.standin.crash_on(CRASHING_BODY);
+        site.standin.crash_servers_on(CRASHING_BODY);
         let mut started = Self {
             site,
             engines: Vec::new(),
@@ -79,7 +79,7 @@
     }
 
     fn crashed(&self) -> usize {
-        self.site.standin.crashed().len()
+        self.site.standin.crashed_servers().len()
     }
 }
 
@@ -96,7 +96,10 @@
 
 fn assert_refused_is_not_run(site: &RoutedSite, answers: &[(String, Answered)]) {
     for (id, answer) in answers.iter().filter(|(_, answer)| answer.status == 503) {
-        assert!(site.standin.runs_of(id).is_empty(), "{id}: {answer:?}");
+        assert!(
+            site.standin.servers_that_ran(id).is_empty(),
+            "{id}: {answer:?}"
+        );
     }
 }
 
@@ -144,9 +147,9 @@
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let crashed = crashing.crashed();
     let fixed_engine = crashing.site.engine().await;
-    fixed_engine.mend();
+    fixed_engine.make_crash_proof();
     let standin = &crashing.site.standin;
-    standin.list_with(&fixed_engine, &json!({"version": "v2"}));
+    standin.list_server_with(&fixed_engine, &json!({"version": "v2"}));
     for (number, instance) in crashing.instances.iter().enumerate() {
         let mut attempts = 0;
         until("served again", async || {
@@ -172,7 +175,7 @@
     for _ in 0..3 {
         let engine = crashing.site.engine().await;
         let standin = &crashing.site.standin;
-        standin.list_with(&engine, &json!({"version": "v2"}));
+        standin.list_server_with(&engine, &json!({"version": "v2"}));
     }
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let more = crashing.crashed() - crashed;
@@ -189,7 +192,7 @@
     assert_eq!(listed[0]["verdict"], "refused", "{listed}");
     let content = listed[0]["content"].as_str().expect("a content");
     for engine in &crashing.engines {
-        engine.mend();
+        engine.make_crash_proof();
     }
     let let_go = tool(&["suspects", "let-go", content, "--operator", &operator]);
     assert!(let_go.status.success(), "{let_go:?}");
@@ -243,7 +246,7 @@
     let crashing = CrashingSite::start(0, 2, 1).await;
     let instance = &crashing.instances[0];
     crashing.call_in_turn("/chat/2", 1).await;
-    let crashed = crashing.site.standin.crashed();
+    let crashed = crashing.site.standin.crashed_servers();
     // The first one lasts until the last generation of the engine is forgotten there; from then on
     // the engine looks the least loaded.
     for (number, events) in [80, 2, 2, 2].into_iter().enumerate() {
@@ -268,7 +271,7 @@
     let requested_count = std::env::var("KNOWN_INSTANCES");
     let count = requested_count.map_or(16, |count| count.parse().expect("a number"));
     let site = RoutedSite::start(0).await;
-    site.standin.crash_on(CRASHING_BODY);
+    site.standin.crash_servers_on(CRASHING_BODY);
     for _ in 0..CRASHED_MAX {
         site.engine().await;
     }
@@ -306,7 +309,7 @@
         "{count} instances knew {} ms after the first",
         began_at.elapsed().as_millis()
     );
-    let crashed = site.standin.crashed().len();
+    let crashed = site.standin.crashed_servers().len();
     assert_eq!(crashed, 3, "all of them under the first three tries");
 }
 
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -20,7 +20,7 @@
 use larkwick::kernel::limit::LimitSignal;
 use larkwick::platform::engine;
 use larkwick::standin::site::server::{Server, ServerFault};
-use larkwick::standin::site::store::StoreMood;
+use larkwick::standin::site::store::StoreFault;
 use support::site::{Instance, RoutedSite, answered, event_numbers, until};
 
 /// Calls that show where calls go; with two endpoints that both take work, all at one of them is rarer than one in a billion.
@@ -43,7 +43,7 @@
     until("answered by it", async || {
         tries += 1;
         instance.call("/calls/a", &format!("{name}-{tries}")).await;
-        server.requests() > 0
+        server.request_count() > 0
     })
     .await;
 }
@@ -52,7 +52,7 @@
 async fn resting_engine(site: &RoutedSite) -> (Arc<Server>, Arc<Server>) {
     let (resting, other) = (site.engine().await, site.engine().await);
     resting.set_fault(ServerFault::Refuses);
-    resting.ask_for_rest(Some(LONG_REST));
+    resting.set_cooldown(Some(LONG_REST));
     (resting, other)
 }
 
@@ -61,11 +61,11 @@
     let site = RoutedSite::start(2).await;
     let instance = site.instance("n1").await;
     let leaving = &site.apps[0];
-    leaving.say_leaving("1");
+    leaving.announce_draining("1");
     until_answered_by(&instance, leaving, "first").await;
-    let before = leaving.requests();
+    let before = leaving.request_count();
     call_all(&instance, "after").await;
-    assert_eq!(leaving.requests(), before, "calls went on to it");
+    assert_eq!(leaving.request_count(), before, "calls went on to it");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,12 +75,12 @@
     let first = site.instance("n1").await;
     let second = site.instance_with_seeds("n2", &[&first]);
     second.until_ready().await;
-    leaving.say_leaving("1");
+    leaving.announce_draining("1");
     let mut tries = 0;
     until("answered by it", async || {
         tries += 1;
         answered(first.generation(2, &format!("first-{tries}"))).await;
-        leaving.requests() > 0
+        leaving.request_count() > 0
     })
     .await;
     for instance in [&first, &second] {
@@ -89,13 +89,13 @@
         })
         .await;
     }
-    let before = leaving.requests();
+    let before = leaving.request_count();
     for (number, instance) in [&first, &second].into_iter().cycle().take(20).enumerate() {
         let answer = answered(instance.generation(2, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    assert_eq!(leaving.requests(), before, "generations went on to it");
-    assert!(other.requests() >= 20);
+    assert_eq!(leaving.request_count(), before, "generations went on to it");
+    assert!(other.request_count() >= 20);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,11 +104,11 @@
     let instance = site.instance("n1").await;
     let resting = &site.apps[0];
     resting.set_fault(ServerFault::Refuses);
-    resting.ask_for_rest(Some(LONG_REST));
+    resting.set_cooldown(Some(LONG_REST));
     for round in 0..5 {
         call_all(&instance, &format!("round-{round}")).await;
     }
-    let got = resting.requests();
+    let got = resting.request_count();
     assert!(
         (1..=REQUESTS_MAX).contains(&got),
         "{got} requests reached it"
@@ -129,7 +129,7 @@
         // Longer than the owner passes over an engine that has refused.
         tokio::time::sleep(Duration::from_millis(450)).await;
     }
-    let got = resting.requests();
+    let got = resting.request_count();
     assert!(
         (1..=REQUESTS_MAX * instances.len()).contains(&got),
         "{got} requests reached it"
@@ -142,17 +142,17 @@
     let instance = site.instance("n1").await;
     for app in &site.apps {
         app.set_fault(ServerFault::Refuses);
-        app.ask_for_rest(Some(LONG_REST));
+        app.set_cooldown(Some(LONG_REST));
     }
     for number in 0..20 {
         let id = format!("call-{number}");
         let answer = instance.call("/calls/a", &id).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.retry_after.is_some(), "{answer:?}");
-        assert!(site.standin.runs_of(&id).is_empty());
+        assert!(site.standin.servers_that_ran(&id).is_empty());
     }
     for app in &site.apps {
-        let got = app.requests();
+        let got = app.request_count();
         assert!(got <= REQUESTS_MAX, "{got} requests reached one");
     }
     let told = instance.call("/calls/a", "last").await.retry_after;
@@ -166,7 +166,7 @@
     let instance = site.instance("n1").await;
     let app = &site.apps[0];
     app.set_fault(ServerFault::Refuses);
-    app.ask_for_rest(Some("0.4"));
+    app.set_cooldown(Some("0.4"));
     assert_eq!(instance.call("/calls/a", "refused").await.status, 503);
     app.set_fault(ServerFault::None);
     let answer = instance.call("/calls/a", "waits").await;
@@ -263,16 +263,16 @@
     let instance = site.instance("n1").await;
     let long = tokio::spawn(answered(instance.generation(200, "long")));
     until("it runs", async || {
-        engines.iter().any(|engine| engine.running() > 0)
+        engines.iter().any(|engine| engine.running_count() > 0)
     })
     .await;
-    let is_on_first = engines[0].running() > 0;
+    let is_on_first = engines[0].running_count() > 0;
     let (leaving, other) = if is_on_first {
         (&engines[0], &engines[1])
     } else {
         (&engines[1], &engines[0])
     };
-    leaving.say_leaving("1");
+    leaving.announce_draining("1");
     let mut tries = 0;
     until("known", async || {
         tries += 1;
@@ -286,7 +286,7 @@
     assert!(answer.whole, "{answer:?}");
     let numbers = event_numbers(&answer.body);
     assert_eq!(numbers, (1..=200).collect::<Vec<u32>>());
-    assert!(other.head_of("long").is_some(), "it went on there");
+    assert!(other.request_headers("long").is_some(), "it went on there");
 }
 
 /// While the list is away nobody hears of the endpoints that take the place of those that leave: their callers need not come back before it is.
@@ -296,14 +296,14 @@
     let engine = site.engine().await;
     let instance = site.instance("n1").await;
     for server in [&site.apps[0], &engine] {
-        server.say_leaving("1");
+        server.announce_draining("1");
     }
     assert_eq!(instance.call("/calls/a", "first").await.status, 200);
     assert_eq!(
         answered(instance.generation(2, "first-2")).await.status,
         200
     );
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     until("told to come back once the list is back", async || {
         let call = instance.call("/calls/a", "second").await;
         let generation = answered(instance.generation(2, "second-2")).await;
@@ -330,14 +330,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_header_unknown_told_once_whatever_the_answer() {
     let site = RoutedSite::start(2).await;
-    site.apps[0].say_unknown("x-of-a-call");
-    site.apps[1].say_unknown("x-of-a-refusal");
+    site.apps[0].add_unknown_header("x-of-a-call");
+    site.apps[1].add_unknown_header("x-of-a-refusal");
     site.apps[1].set_fault(ServerFault::Refuses);
     let (source, target) = (site.engine().await, site.engine().await);
     for engine in [&source, &target] {
-        engine.say_unknown("x-of-an-engine");
+        engine.add_unknown_header("x-of-an-engine");
     }
-    site.standin.store.say_unknown("x-of-the-store");
+    site.standin.store.add_unknown_header("x-of-the-store");
     let instance = site.instance("n1").await;
     let known = async || {
         instance.call("/calls/a", "any").await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -68,7 +68,7 @@
 }
 
 fn check_sum(server: &Arc<Server>, named_at: Instant) {
-    let most = server.most_within(SPAN, named_at + COUNTED_AFTER);
+    let most = server.max_requests_within(SPAN, named_at + COUNTED_AFTER);
     let most = f64::from(u32::try_from(most).expect("few requests"));
     let allowed = allowed(LIMIT_PER_S);
     assert!(
@@ -84,7 +84,7 @@
     let instances = instances(&site, 4).await;
     let named_at = Instant::now();
     for app in &site.apps[..2] {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
@@ -107,7 +107,7 @@
     let instances = instances(&site, 4).await;
     let named_at = Instant::now();
     for engine in &engines[..2] {
-        engine.name_limit(Some(LIMIT));
+        engine.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(50), |caller, id| {
         caller.generation(4, id)
@@ -127,7 +127,7 @@
     let instances = instances(&site, 4).await;
     let named_at = Instant::now();
     for app in &site.apps {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
@@ -144,7 +144,7 @@
         let told_s = answer.retry_after.unwrap_or_default();
         assert!(told_s >= 0.1, "{answer:?}: sooner it meets the same crowd");
     }
-    let ran = |number: usize| site.standin.runs_of(&format!("r{number}")).len();
+    let ran = |number: usize| site.standin.servers_that_ran(&format!("r{number}")).len();
     let ran = (0..answers.len()).map(ran).sum::<usize>();
     assert_eq!(ran, served.len(), "a refused one ran");
 }
@@ -155,7 +155,7 @@
     let site = RoutedSite::start(2).await;
     let instances = instances(&site, 3).await;
     let app = &site.apps[0];
-    app.name_limit(Some("0"));
+    app.announce_limit(Some("0"));
     let all_know = async |named: bool| {
         for instance in &instances {
             until("all know", async || {
@@ -169,16 +169,16 @@
         }
     };
     all_know(true).await;
-    app.name_limit(None);
+    app.announce_limit(None);
     all_know(false).await;
-    let before = app.requests();
+    let before = app.request_count();
     for number in 0..40 {
         let answer = instances[0]
             .call("/calls/a", &format!("after-{number}"))
             .await;
         assert_eq!(answer.status, 200);
     }
-    assert!(app.requests() > before);
+    assert!(app.request_count() > before);
 }
 
 /// One after the other, instances stand still and are killed, whoever of them gives the permits.
@@ -188,7 +188,7 @@
     let mut instances = instances(&site, 4).await;
     let named_at = Instant::now();
     for app in &site.apps {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
     let calls = tokio::spawn(async move {
@@ -231,7 +231,7 @@
         let found = endpoints.values().find(is_of).cloned();
         found.and_then(|one| one["limit_per_s"].as_f64())
     };
-    app.name_limit(Some(LIMIT));
+    app.announce_limit(Some(LIMIT));
     for instance in &instances {
         until("known", async || {
             instances[0].call("/calls/a", "any").await;
@@ -239,7 +239,7 @@
         })
         .await;
     }
-    app.name_limit(None);
+    app.announce_limit(None);
     for instance in &instances {
         until("known to be over", async || {
             instances[0].call("/calls/a", "any").await;
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -72,7 +72,7 @@
     for number in 0..10 {
         let id = format!("o{number}");
         statuses.push(instance.call("/once/1", &id).await.status);
-        assert!(site.standin.runs_of(&id).len() <= 1);
+        assert!(site.standin.servers_that_ran(&id).len() <= 1);
     }
     let lost = statuses.iter().filter(|status| **status != 200);
     assert!(lost.count() <= 1, "{statuses:?}");
@@ -100,29 +100,37 @@
     .await;
     // In use: the stream goes silent while the engine keeps generating.
     let running = tokio::spawn(answered(instance.generation(EVENTS, "used")));
-    until("running", async || engine.running() == 1).await;
+    until("running", async || engine.running_count() == 1).await;
     proxy.silence_open();
     other.set_fault(ServerFault::None);
     let answer = running.await.expect("answered");
     assert!(is_complete(&answer), "{answer:?}");
-    assert_eq!(site.standin.runs_of("used").len(), 1, "not restarted");
+    assert_eq!(
+        site.standin.servers_that_ran("used").len(),
+        1,
+        "not restarted"
+    );
     // In use, before the first event arrives.
     proxy.set(Link::OneWay);
     other.set_fault(ServerFault::Refuses);
     let begun = tokio::spawn(answered(instance.generation(EVENTS, "begun")));
-    until("begun", async || engine.running() == 1).await;
+    until("begun", async || engine.running_count() == 1).await;
     proxy.silence_open();
     proxy.set(Link::Sound);
     other.set_fault(ServerFault::None);
     let answer = begun.await.expect("answered");
     assert!(is_complete(&answer), "{answer:?}");
-    assert_eq!(site.standin.runs_of("begun").len(), 1, "not restarted");
+    assert_eq!(
+        site.standin.servers_that_ran("begun").len(),
+        1,
+        "not restarted"
+    );
     // In use, and complete before the engine can be asked: the caller gets an error at once rather
     // than at its deadline.
     proxy.set(Link::OneWay);
     other.set_fault(ServerFault::Refuses);
     let short = tokio::spawn(answered(instance.generation(FEW_EVENTS, "short")));
-    until("short", async || engine.head_of("short").is_some()).await;
+    until("short", async || engine.request_headers("short").is_some()).await;
     proxy.silence_open();
     proxy.set(Link::Sound);
     let short = short.await.expect("answered");
--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -7,7 +7,7 @@
 
 use larkwick::kernel::route::RouteConfig;
 use larkwick::standin::site::server::{ServerFault, ServerKind};
-use larkwick::standin::site::store::StoreMood;
+use larkwick::standin::site::store::StoreFault;
 use larkwick::standin::site::{HOST, KEY};
 use nix::sys::signal::Signal;
 use support::proxy::Link;
@@ -25,7 +25,7 @@
         let answer = instance.call("/calls/a", &format!("quick-{number}")).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    site.apps[0].set_fault(ServerFault::AnswersLate);
+    site.apps[0].set_fault(ServerFault::RespondsLate);
     let answer = instance.call("/calls/a", "late").await;
     assert_eq!(answer.status, 200, "{answer:?}");
 }
@@ -36,14 +36,14 @@
     let instance = site.instance("n1").await;
     let answer = instance.call("/calls/1", "a1").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "hello"));
-    let runs = site.standin.runs_of("a1");
+    let runs = site.standin.servers_that_ran("a1");
     assert_eq!(runs.len(), 1);
     let server = site
         .apps
         .iter()
         .find(|app| app.id == runs[0])
         .expect("a server");
-    let head = server.head_of("a1").expect("its head");
+    let head = server.request_headers("a1").expect("its head");
     assert_eq!(head["larkwick-tenant"], "account-1");
     assert_eq!(head["larkwick-expect-instance"], runs[0].as_str());
     assert!(!head.contains_key("api-key"));
@@ -66,7 +66,7 @@
         request = request.header(name, "10.0.0.1:1/forged");
     }
     assert_eq!(answered(request).await.status, 200);
-    let head = site.apps[0].head_of("f1").expect("its head");
+    let head = site.apps[0].request_headers("f1").expect("its head");
     assert_eq!(head["larkwick-tenant"], "account-1");
     for name in &forged_headers[1..] {
         assert!(!head.contains_key(*name), "{name}");
@@ -90,7 +90,7 @@
     let no_key = no_key.header("larkwick-request-id", "b3");
     assert_eq!(answered(no_key).await.status, 401);
     for id in ["b1", "b2", "b3"] {
-        assert!(site.standin.runs_of(id).is_empty(), "{id}");
+        assert!(site.standin.servers_that_ran(id).is_empty(), "{id}");
     }
 }
 
@@ -116,7 +116,7 @@
     stream.read_to_end(&mut answer).await.expect("closed");
     let answer = String::from_utf8_lossy(&answer);
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer:?}");
-    assert!(site.standin.runs_of("s2").is_empty());
+    assert!(site.standin.servers_that_ran("s2").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -129,7 +129,7 @@
     let answer = instance.call("/once/1", "o1").await;
     // Must be neither 429 nor 503: those promise that the request did not run.
     assert_eq!(answer.status, 502);
-    assert_eq!(site.standin.runs_of("o1").len(), 1);
+    assert_eq!(site.standin.servers_that_ran("o1").len(), 1);
 }
 
 /// Servers drop idle connections without closing them. At most one call is lost, and reported as
@@ -152,7 +152,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         let id = format!("f{number}");
         statuses.push(instance.call("/once/1", &id).await.status);
-        assert!(site.standin.runs_of(&id).len() <= 1);
+        assert!(site.standin.servers_that_ran(&id).len() <= 1);
     }
     let lost = statuses.iter().filter(|status| **status == 502);
     assert!(lost.count() <= 1, "{statuses:?}");
@@ -168,7 +168,10 @@
     for number in 0..10 {
         let id = format!("r{number}");
         assert_eq!(instance.call("/once/1", &id).await.status, 200);
-        assert_eq!(site.standin.runs_of(&id), [site.apps[1].id.as_str()]);
+        assert_eq!(
+            site.standin.servers_that_ran(&id),
+            [site.apps[1].id.as_str()]
+        );
     }
 }
 
@@ -180,7 +183,7 @@
     let answer = instance.call("/once/1", "n1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some_and(|seconds| seconds > 0.0));
-    assert!(site.standin.runs_of("n1").is_empty());
+    assert!(site.standin.servers_that_ran("n1").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -188,8 +191,8 @@
     let faults = [
         ServerFault::RunsAndCloses,
         ServerFault::RunsAndHangs,
-        ServerFault::Crosses,
-        ServerFault::Fails,
+        ServerFault::WrongRequestId,
+        ServerFault::InternalError,
         ServerFault::Unsealed,
     ];
     for fault in faults {
@@ -210,7 +213,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_mismatched_response_not_forwarded() {
     let site = RoutedSite::start(1).await;
-    site.apps[0].set_fault(ServerFault::Crosses);
+    site.apps[0].set_fault(ServerFault::WrongRequestId);
     let instance = site.instance("n1").await;
     assert_eq!(instance.call("/once/1", "c1").await.status, 502);
 }
@@ -265,7 +268,7 @@
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     site.standin
-        .publish_value(&serde_json::json!({"version": "no"}));
+        .publish_config(&serde_json::json!({"version": "no"}));
     until("logged", async || {
         instance.has_line("record not read; what was known stays")
     })
@@ -275,14 +278,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_serving_continues_and_catches_up() {
-    for mood in [StoreMood::Busy, StoreMood::Silent] {
+    for mood in [StoreFault::Busy, StoreFault::Unresponsive] {
         let site = RoutedSite::start(1).await;
         let instance = site.instance("n1").await;
-        site.standin.store.set_mood(mood);
+        site.standin.store.set_fault(mood);
         until("lost", async || instance.has_line("store lost")).await;
         assert_eq!(instance.call("/calls/1", "s1").await.status, 200);
         site.standin.publish(9, &[KEY]);
-        site.standin.store.set_mood(StoreMood::Sound);
+        site.standin.store.set_fault(StoreFault::None);
         until("version 9", async || {
             instance.state().await["config_version"] == 9
         })
@@ -294,13 +297,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_call_answered_as_not_run() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.instance_not_ready("n1");
     let answer = instance.call("/calls/1", "w1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
     assert!(!instance.is_ready().await);
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     instance.until_ready().await;
 }
 
@@ -309,7 +312,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_callers_get_long_retry_after() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.instance_holding("n1", Duration::from_millis(10));
     // The first calls may arrive before the store has failed.
     until("long retry-after", async || {
@@ -318,7 +321,7 @@
         answer.retry_after.is_some_and(|seconds| seconds >= 2.0)
     })
     .await;
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     instance.until_ready().await;
     assert_eq!(instance.call("/calls/1", "w3").await.status, 200);
 }
@@ -328,36 +331,36 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_call_held_until_store_returns() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.instance_holding("n1", PATIENCE);
     let caller = instance.caller();
     let answer = tokio::spawn(async move { answered(caller.request("/calls/1", "h1")).await });
     until("held", async || instance.state().await["calls_held"] == 1).await;
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     assert_eq!(answer.await.expect("answered").status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_held_caller_disconnects_call_not_run() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.instance_holding("n1", PATIENCE);
     let caller = instance.caller();
     let leaving = tokio::spawn(async move { answered(caller.request("/once/1", "h3")).await });
     until("held", async || instance.state().await["calls_held"] == 1).await;
     leaving.abort();
     until("gone", async || instance.state().await["calls_held"] == 0).await;
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     instance.until_ready().await;
     assert_eq!(instance.call("/once/1", "h4").await.status, 200);
-    assert!(site.standin.runs_of("h3").is_empty());
+    assert!(site.standin.servers_that_ran("h3").is_empty());
 }
 
 /// A call whose deadline leaves no time to serve it after the hold is not held.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_short_deadline_refused_at_once() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.instance_not_ready("n1");
     let request =
         reqwest::Client::new().post(format!("http://{}/calls/1", instance.caller_address()));
@@ -375,14 +378,14 @@
     let first = site.instance("n1").await;
     let second = site.instance("n2").await;
     until("both named", async || first.named().await.len() == 2).await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     until("lost", async || first.has_line("store lost")).await;
     let seeds = [&first, &second];
     let third = site.instance_with_seeds("n3", &seeds);
     third.until_ready().await;
     assert_eq!(third.call("/once/1", "m1").await.status, 200);
     site.standin.publish(8, &[KEY]);
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     until("version 8", async || {
         third.state().await["config_version"] == 8
     })
@@ -392,10 +395,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn store_response_to_own_entry_lost_instance_serves() {
     let site = RoutedSite::start(1).await;
-    site.standin.store.set_mood(StoreMood::LosesAnswers);
+    site.standin.store.set_fault(StoreFault::LosesAppendReplies);
     let instance = site.instance("n1").await;
     assert_eq!(instance.call("/calls/1", "l1").await.status, 200);
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     until("written", async || {
         site.standin.store.keys("keyed.status") == ["n1"]
     })
@@ -431,7 +434,7 @@
     })
     .await;
     let generation = tokio::spawn(answered(instance.generation(60, "g1")));
-    until("running", async || engine.running() == 1).await;
+    until("running", async || engine.running_count() == 1).await;
     instance.signal(Signal::SIGTERM);
     let answer = generation.await.expect("answered");
     assert!(answer.whole);
@@ -446,9 +449,9 @@
         let instance = site.instance("n1").await;
         let leaving = &site.apps[number];
         if vanish {
-            site.standin.unlist(leaving);
+            site.standin.unlist_server(leaving);
         } else {
-            site.standin.list(leaving, "draining");
+            site.standin.list_server(leaving, "draining");
         }
         until("known", async || {
             let state = instance.state().await;
@@ -457,12 +460,12 @@
         .await;
         if !vanish {
             // Its announcement that it drains is final, whatever the list says later.
-            site.standin.list(leaving, "ready");
+            site.standin.list_server(leaving, "ready");
         }
         for call in 0..20 {
             let id = format!("e{number}-{call}");
             assert_eq!(instance.call("/once/1", &id).await.status, 200);
-            assert_ne!(site.standin.runs_of(&id), [leaving.id.as_str()]);
+            assert_ne!(site.standin.servers_that_ran(&id), [leaving.id.as_str()]);
         }
         assert!(instance.metrics().await.contains("larkwick_calls_total"));
     }
@@ -472,16 +475,16 @@
 async fn endpoint_all_unlisted_together_still_used() {
     let site = RoutedSite::start(3).await;
     let instance = site.instance("n1").await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     until("lost", async || instance.has_line("store lost")).await;
     for app in &site.apps {
-        site.standin.unlist(app);
+        site.standin.unlist_server(app);
     }
-    site.standin.store.set_mood(StoreMood::Sound);
+    site.standin.store.set_fault(StoreFault::None);
     until("regained", async || instance.has_line("store regained")).await;
     assert_eq!(instance.call("/once/1", "v1").await.status, 200);
     for app in &site.apps {
-        site.standin.list(app, "ready");
+        site.standin.list_server(app, "ready");
     }
     until("listed again", async || {
         let state = instance.state().await;
@@ -578,11 +581,14 @@
     let site = RoutedSite::start(1).await;
     let engine = site.engine().await;
     engine.set_fault(ServerFault::RunsAndHangs);
-    let plain = site.standin.server("app", ServerKind::Plain).await;
+    let plain = site.standin.start_server("app", ServerKind::Plain).await;
     plain.expect("server").set_fault(ServerFault::RunsAndHangs);
     let instance = site.instance("n1").await;
     let waiting = tokio::spawn(instance.generation(5, "q1").send());
-    until("sent", async || !site.standin.runs_of("q1").is_empty()).await;
+    until("sent", async || {
+        !site.standin.servers_that_ran("q1").is_empty()
+    })
+    .await;
     waiting.abort();
     until("no call left", async || {
         instance.state().await["calls"] == 0
@@ -645,7 +651,7 @@
         .await;
     }
     for app in &site.apps {
-        app.set_fault(ServerFault::Fails);
+        app.set_fault(ServerFault::InternalError);
     }
     let mut calls = 0;
     for (number, instance) in instances.iter().enumerate() {
--- a/tests/site_endpoints.rs
+++ b/tests/site_endpoints.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use larkwick::standin::site::server::{Server, ServerFault, ServerKind};
-use larkwick::standin::site::store::StoreMood;
+use larkwick::standin::site::store::StoreFault;
 use serde_json::json;
 use support::site::{Instance, RoutedSite, answered, until};
 
@@ -18,7 +18,8 @@
 async fn two_halls() -> (RoutedSite, Arc<Server>, Arc<Server>) {
     let site = RoutedSite::start(2).await;
     let (first, second) = (site.apps[0].clone(), site.apps[1].clone());
-    site.standin.list_with(&second, &json!({"zone": "hall-2"}));
+    site.standin
+        .list_server_with(&second, &json!({"zone": "hall-2"}));
     (site, first, second)
 }
 
@@ -35,7 +36,7 @@
     for number in 0..CALLS {
         let id = format!("{name}-{number}");
         assert_eq!(instance.call("/once/a", &id).await.status, 200);
-        ran.extend(site.standin.runs_of(&id));
+        ran.extend(site.standin.servers_that_ran(&id));
     }
     ran.sort();
     ran.dedup();
@@ -46,11 +47,11 @@
 async fn evacuated_hall_gets_no_calls_until_restored() {
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
+    site.standin.evacuate_hall("hall-1");
     wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
-    site.standin.take_back("hall-1");
+    site.standin.restore_hall("hall-1");
     wait_for_availability(&instance, &first, "ready").await;
     assert_eq!(called_endpoints(&site, &instance, "back").await.len(), 2);
 }
@@ -60,7 +61,7 @@
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
     let store = &site.standin.store;
-    store.put_bytes("keyed.op", "evacuate/hall-1", b"\xff{");
+    store.put_raw("keyed.op", "evacuate/hall-1", b"\xff{");
     wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
@@ -70,23 +71,23 @@
 async fn evacuated_all_halls_calls_refused_immediately() {
     let (site, first, second) = two_halls().await;
     let instance = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
-    site.standin.evacuate("hall-2");
+    site.standin.evacuate_hall("hall-1");
+    site.standin.evacuate_hall("hall-2");
     wait_for_availability(&instance, &first, "evacuated").await;
     wait_for_availability(&instance, &second, "evacuated").await;
     let answer = instance.call("/once/a", "all").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    assert!(site.standin.runs_of("all").is_empty());
+    assert!(site.standin.servers_that_ran("all").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_known_after_start_during_store_outage() {
     let (site, first, second) = two_halls().await;
     let known = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
+    site.standin.evacuate_hall("hall-1");
     wait_for_availability(&known, &first, "evacuated").await;
-    site.standin.store.set_mood(StoreMood::Busy);
+    site.standin.store.set_fault(StoreFault::Busy);
     let started = site.instance_with_seeds("n2", &[&known]);
     started.until_ready().await;
     assert_eq!(started.standing(&first).await, "evacuated");
@@ -101,7 +102,7 @@
     let app = site.apps[0].clone();
     let list = |state: &str, born: u64| {
         let fields = json!({"state": state, "born": born});
-        site.standin.list_with(&app, &fields);
+        site.standin.list_server_with(&app, &fields);
     };
     list("ready", 1_000);
     let instance = site.instance("n1").await;
@@ -116,7 +117,7 @@
     .await;
     // A late entry of the earlier incarnation changes nothing.
     list("draining", 1_000);
-    let other = site.standin.server("app", ServerKind::Plain).await;
+    let other = site.standin.start_server("app", ServerKind::Plain).await;
     let other = other.expect("server starts");
     wait_for_availability(&instance, &other, "ready").await;
     assert_eq!(called_endpoints(&site, &instance, "late").await.len(), 2);
@@ -138,13 +139,16 @@
     let site = RoutedSite::start(1).await;
     let instance = site.instance("n1").await;
     for fields in malformed {
-        let server = site.standin.server_unlisted("app", ServerKind::Plain).await;
+        let server = site
+            .standin
+            .start_unlisted_server("app", ServerKind::Plain)
+            .await;
         let server = server.expect("server starts");
-        site.standin.list_with(&server, &fields);
+        site.standin.list_server_with(&server, &fields);
     }
     let store = &site.standin.store;
-    store.put_bytes("keyed.servers", "i-garbled", b"\x00\xff\xfe");
-    let last = site.standin.server("app", ServerKind::Plain).await;
+    store.put_raw("keyed.servers", "i-garbled", b"\x00\xff\xfe");
+    let last = site.standin.start_server("app", ServerKind::Plain).await;
     let last = last.expect("server starts");
     wait_for_availability(&instance, &last, "ready").await;
     let mut expected = vec![site.apps[0].id.clone(), last.id.clone()];
@@ -190,11 +194,15 @@
 async fn endpoint_cold_gets_no_more_than_sustainable_rate() {
     const SUSTAINABLE_PER_S: f64 = 4.0;
     let site = RoutedSite::start(0).await;
-    site.standin.publish_cold(3, 60.0, SUSTAINABLE_PER_S);
-    let cold = site.standin.server_unlisted("app", ServerKind::Plain).await;
+    site.standin
+        .publish_with_cold_start(3, 60.0, SUSTAINABLE_PER_S);
+    let cold = site
+        .standin
+        .start_unlisted_server("app", ServerKind::Plain)
+        .await;
     let cold = cold.expect("server starts");
     site.standin
-        .list_with(&cold, &json!({"cold-left-ms": 60_000}));
+        .list_server_with(&cold, &json!({"cold-left-ms": 60_000}));
     let instance = site.instance("n1").await;
     let started_at = std::time::Instant::now();
     let calls = (0..50).map(|number| {
@@ -228,10 +236,10 @@
     let engine = site.engine().await;
     let replaced = site
         .standin
-        .server_unlisted("llm", larkwick::standin::site::server::ServerKind::Engine);
+        .start_unlisted_server("llm", larkwick::standin::site::server::ServerKind::Engine);
     let replaced = replaced.await.expect("server starts");
     replaced.set_fault(ServerFault::Misdirects);
-    site.standin.list(&replaced, "ready");
+    site.standin.list_server(&replaced, "ready");
     let instance = site.instance("n1").await;
     wait_for_availability(&instance, &replaced, "ready").await;
     for number in 0..8 {
@@ -239,10 +247,10 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(engine.requests(), 8);
+    assert_eq!(engine.request_count(), 8);
     assert!(
-        replaced.requests() <= 1,
+        replaced.request_count() <= 1,
         "{} requests to the replaced engine",
-        replaced.requests()
+        replaced.request_count()
     );
 }
--- a/tests/site_generations.rs
+++ b/tests/site_generations.rs
@@ -22,7 +22,7 @@
     let instance = site.instance("n1").await;
     let answer = answered(instance.generation(20, "g1")).await;
     assert_complete(&answer, 20);
-    assert_eq!(site.standin.runs_of("g1"), [engine.id.as_str()]);
+    assert_eq!(site.standin.servers_that_ran("g1"), [engine.id.as_str()]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -34,23 +34,23 @@
         let running: Vec<_> = (0..3)
             .map(|number| tokio::spawn(answered(instance.generation(80, &format!("m{number}")))))
             .collect();
-        until("generations running", async || leaving.running() == 3).await;
+        until("generations running", async || leaving.running_count() == 3).await;
         let staying = site.engine().await;
         until("both engines known", async || {
             instance.state().await["endpoints"][&staying.id].is_object()
         })
         .await;
         if vanish {
-            site.standin.unlist(&leaving);
+            site.standin.unlist_server(&leaving);
         } else {
-            site.standin.list(&leaving, "draining");
+            site.standin.list_server(&leaving, "draining");
         }
-        until("generations moved", async || staying.running() == 3).await;
+        until("generations moved", async || staying.running_count() == 3).await;
         leaving.kill();
         for (number, generation) in running.into_iter().enumerate() {
             let answer = generation.await.expect("response received");
             assert_complete(&answer, 80);
-            let runs = site.standin.runs_of(&format!("m{number}"));
+            let runs = site.standin.servers_that_ran(&format!("m{number}"));
             assert_eq!(runs, [leaving.id.as_str()]);
         }
     }
@@ -62,14 +62,14 @@
     let leaving = site.engine().await;
     let instance = site.instance("n1").await;
     let running = tokio::spawn(answered(instance.generation(40, "t1")));
-    until("generations running", async || leaving.running() == 1).await;
+    until("generations running", async || leaving.running_count() == 1).await;
     let full = site.engine().await;
-    full.set_fault(ServerFault::NoRoom);
+    full.set_fault(ServerFault::RefusesCopies);
     until("both engines known", async || {
         instance.state().await["endpoints"][&full.id].is_object()
     })
     .await;
-    site.standin.list(&leaving, "draining");
+    site.standin.list_server(&leaving, "draining");
     assert_complete(&running.await.expect("response received"), 40);
 }
 
@@ -81,16 +81,16 @@
     let leaving = site.engine().await;
     let instance = site.instance("n1").await;
     let running = tokio::spawn(answered(instance.generation(24, "t2")));
-    until("generations running", async || leaving.running() == 1).await;
+    until("generations running", async || leaving.running_count() == 1).await;
     let without_copy = site.engine().await;
     without_copy.set_fault(ServerFault::DropsCopies);
     until("both engines known", async || {
         instance.state().await["endpoints"][&without_copy.id].is_object()
     })
     .await;
-    site.standin.list(&leaving, "draining");
+    site.standin.list_server(&leaving, "draining");
     assert_complete(&running.await.expect("response received"), 24);
-    assert_eq!(site.standin.runs_of("t2"), [leaving.id.as_str()]);
+    assert_eq!(site.standin.servers_that_ran("t2"), [leaving.id.as_str()]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -99,11 +99,11 @@
     let engine = site.engine().await;
     let instance = site.instance("n1").await;
     let running = tokio::spawn(answered(instance.generation(400, "d1")));
-    until("generations running", async || engine.running() == 1).await;
+    until("generations running", async || engine.running_count() == 1).await;
     engine.kill();
     let answer = running.await.expect("response received");
     assert!(!answer.whole);
-    assert_eq!(site.standin.runs_of("d1").len(), 1);
+    assert_eq!(site.standin.servers_that_ran("d1").len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,7 +116,7 @@
     for number in 0..8 {
         let id = format!("p{number}");
         assert_complete(&answered(instance.generation(2, &id)).await, 2);
-        assert_eq!(site.standin.runs_of(&id), [healthy.id.as_str()]);
+        assert_eq!(site.standin.servers_that_ran(&id), [healthy.id.as_str()]);
     }
 }
 
@@ -132,7 +132,7 @@
     // full.
     let retry_after = answer.retry_after.expect("Retry-After present");
     assert!((2.9..=5.0).contains(&retry_after), "{retry_after}");
-    assert!(site.standin.runs_of("r1").is_empty());
+    assert!(site.standin.servers_that_ran("r1").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -167,7 +167,7 @@
     answer.chunk().await.expect("an event received");
     drop(answer);
     until("generation ended at the engine", async || {
-        engine.running() == 0
+        engine.running_count() == 0
     })
     .await;
 }
@@ -181,7 +181,7 @@
     let mut instance = site.instance("n1").await;
     // Keeps the process running after the signal.
     let running = tokio::spawn(answered(instance.generation(120, "s0")));
-    until("generations running", async || engine.running() == 1).await;
+    until("generations running", async || engine.running_count() == 1).await;
     instance.signal(Signal::SIGTERM);
     until("shutdown announced", async || {
         instance.has_line("instance stopping")
@@ -190,7 +190,7 @@
     let long = answered(instance.generation(600, "s1")).await;
     assert_eq!(long.status, 503);
     assert!(long.retry_after.is_some());
-    assert!(site.standin.runs_of("s1").is_empty());
+    assert!(site.standin.servers_that_ran("s1").is_empty());
     assert_complete(&answered(instance.generation(4, "s2")).await, 4);
     assert_complete(&running.await.expect("response received"), 120);
     until("process exited", async || {
@@ -216,7 +216,7 @@
     // Any of the instances may own the engines; the one that serves the generation survives.
     let server = instances.remove(0);
     let running = tokio::spawn(answered(server.generation(240, "k1")));
-    until("generations running", async || leaving.running() == 1).await;
+    until("generations running", async || leaving.running_count() == 1).await;
     for other in &instances {
         other.signal(Signal::SIGKILL);
     }
@@ -225,10 +225,10 @@
         server.state().await["endpoints"][&staying.id].is_object()
     })
     .await;
-    site.standin.list(&leaving, "draining");
+    site.standin.list_server(&leaving, "draining");
     assert_complete(&running.await.expect("response received"), 240);
     assert_complete(&answered(server.generation(3, "k2")).await, 3);
-    assert_eq!(site.standin.runs_of("k2"), [staying.id.as_str()]);
+    assert_eq!(site.standin.servers_that_ran("k2"), [staying.id.as_str()]);
 }
 
 /// Guards against a cut response on resumption: the relay treated the first remaining event as one
@@ -252,7 +252,7 @@
     let engines = [site.engine().await, site.engine().await];
     let instance = site.instance("n1").await;
     let running = tokio::spawn(answered(instance.caller().check(60, "c2")));
-    let runs_generation = |engine: &Server| engine.running() == 1;
+    let runs_generation = |engine: &Server| engine.running_count() == 1;
     until("generations running", async || {
         engines.iter().any(|one| runs_generation(one))
     })
@@ -263,7 +263,7 @@
         .expect("an engine runs the generation");
     killed.kill();
     assert_complete(&running.await.expect("response received"), 60);
-    let runs = site.standin.runs_of("c2");
+    let runs = site.standin.servers_that_ran("c2");
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0], runs[1]);
 }
@@ -278,7 +278,7 @@
     let instance = site.instance("n1").await;
     let answer = answered(instance.caller().check(5, "c3")).await;
     assert!(answer.status >= 500 && answer.status != 503, "{answer:?}");
-    assert_eq!(site.standin.runs_of("c3").len(), 2);
+    assert_eq!(site.standin.servers_that_ran("c3").len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -290,5 +290,5 @@
     let instance = site.instance("n1").await;
     let answer = answered(instance.generation(5, "c4")).await;
     assert_eq!(answer.status, 502);
-    assert_eq!(site.standin.runs_of("c4").len(), 1);
+    assert_eq!(site.standin.servers_that_ran("c4").len(), 1);
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -12,7 +12,7 @@
 
 use larkwick::standin::site::KEY;
 use larkwick::standin::site::server::{Server, ServerFault};
-use larkwick::standin::site::store::StoreMood;
+use larkwick::standin::site::store::StoreFault;
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
@@ -93,7 +93,7 @@
         let mut site = RoutedSite::start(3).await;
         let proxy = Arc::new(Proxy::start(site.standin.store_address()).await);
         site.store_through(proxy.address);
-        site.standin.crash_on(CRASHING);
+        site.standin.crash_servers_on(CRASHING);
         let suspendable = Suspendable::start(&site, "suspended").await;
         let soak = Self {
             suspendable,
@@ -123,7 +123,7 @@
         let mut replaced = 0;
         loop {
             tokio::time::sleep(LOOK_EVERY).await;
-            let ended = self.site.standin.crashed();
+            let ended = self.site.standin.crashed_servers();
             for id in &ended[replaced..] {
                 let gone = {
                     let mut engines = self.engines.lock();
@@ -136,7 +136,7 @@
                     tokio::spawn(async move {
                         soak.add_engine().await;
                         tokio::time::sleep(Duration::from_millis(300)).await;
-                        soak.site.standin.unlist(&engine);
+                        soak.site.standin.unlist_server(&engine);
                     });
                 }
             }
@@ -151,7 +151,7 @@
         let request = caller.generation(2, &id).body(CRASHING);
         let seen = ask(request, id, None).await;
         if seen.status == Some(503) {
-            let ran = self.site.standin.runs_of(&seen.id);
+            let ran = self.site.standin.servers_that_ran(&seen.id);
             assert!(ran.is_empty(), "{} was answered 503 and ran", seen.id);
         }
         seen.status
@@ -172,14 +172,14 @@
 
     /// With all faults over, no instance sends it any more after a few endpoints at the most.
     async fn check_crashing(&self) {
-        let before = self.site.standin.crashed().len();
+        let before = self.site.standin.crashed_servers().len();
         for caller in self.callers() {
             until("the crashing request refused", async || {
                 self.call_crashing(&caller).await == Some(503)
             })
             .await;
         }
-        let more = self.site.standin.crashed().len() - before;
+        let more = self.site.standin.crashed_servers().len() - before;
         assert!(
             more <= ENDED_MAX,
             "{more} endpoints ended once all was calm"
@@ -257,9 +257,9 @@
                     });
                 }
             }
-            3 => self.mood_for(StoreMood::Busy, lasts),
-            4 => self.mood_for(StoreMood::Silent, lasts),
-            5 => self.mood_for(StoreMood::LosesAnswers, lasts),
+            3 => self.mood_for(StoreFault::Busy, lasts),
+            4 => self.mood_for(StoreFault::Unresponsive, lasts),
+            5 => self.mood_for(StoreFault::LosesAppendReplies, lasts),
             6 => link_for(&self.proxy, a_link(random), lasts),
             7 => self.proxy.reset(),
             8 => self.publish(0),
@@ -289,7 +289,7 @@
             23 => self.garble_entry(random, lasts),
             24 | 25 => self.come_crashing(random),
             27 | 28 => self.leave_unlisted(random).await,
-            29 => self.ask_for_rest(random, lasts),
+            29 => self.start_cooldown_fault(random, lasts),
             30 | 31 => self.come_back_from_copy(random, lasts),
             26 => {
                 let lasted_ms = random.random_range(500..SUSPENDED_MAX_MS);
@@ -300,7 +300,7 @@
                 let faults = [
                     ServerFault::Refuses,
                     ServerFault::RunsAndCloses,
-                    ServerFault::Crosses,
+                    ServerFault::WrongRequestId,
                     ServerFault::Unsealed,
                 ];
                 let app = self.site.apps.choose(random).expect("servers").clone();
@@ -319,12 +319,12 @@
         (index < instances.len()).then(|| instances.remove(index))
     }
 
-    fn mood_for(self: &Arc<Self>, mood: StoreMood, lasts: Duration) {
-        self.site.standin.store.set_mood(mood);
+    fn mood_for(self: &Arc<Self>, mood: StoreFault, lasts: Duration) {
+        self.site.standin.store.set_fault(mood);
         let soak = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(lasts).await;
-            soak.site.standin.store.set_mood(StoreMood::Sound);
+            soak.site.standin.store.set_fault(StoreFault::None);
         });
     }
 
@@ -342,11 +342,11 @@
 
     /// The hall of all endpoints is emptied; a second order may come before the first is taken back.
     fn evacuate_for(self: &Arc<Self>, lasts: Duration) {
-        self.site.standin.evacuate("hall-1");
+        self.site.standin.evacuate_hall("hall-1");
         let soak = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(lasts).await;
-            soak.site.standin.take_back("hall-1");
+            soak.site.standin.restore_hall("hall-1");
         });
     }
 
@@ -356,7 +356,7 @@
 
     fn list_born(&self, app: &Server, state: &str, born: u32) {
         let fields = json!({"state": state, "born": born});
-        self.site.standin.list_with(app, &fields);
+        self.site.standin.list_server_with(app, &fields);
     }
 
     /// A plain endpoint leaves and starts again under its id; a late word of the former life follows, and the next one of this life.
@@ -377,7 +377,7 @@
     fn garble_entry(self: &Arc<Self>, random: &mut StdRng, lasts: Duration) {
         let app = self.any_app(random);
         let store = &self.site.standin.store;
-        store.put_bytes("keyed.servers", &app.id, b"\xff{\"state\":");
+        store.put_raw("keyed.servers", &app.id, b"\xff{\"state\":");
         let soak = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(lasts).await;
@@ -395,8 +395,8 @@
             engines.remove(index)
         };
         match random.random_range(0..3) {
-            0 => self.site.standin.list(&leaving, "draining"),
-            1 => self.site.standin.unlist(&leaving),
+            0 => self.site.standin.list_server(&leaving, "draining"),
+            1 => self.site.standin.unlist_server(&leaving),
             _ => leaving.kill(),
         }
         tokio::spawn(async move {
@@ -414,39 +414,39 @@
             let index = random.random_range(0..engines.len());
             engines.remove(index)
         };
-        leaving.say_leaving("1");
+        leaving.announce_draining("1");
         let site = self.site.standin.store.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(2_500)).await;
             leaving.kill();
             drop(proxy);
-            site.drop_key("keyed.servers", &leaving.id);
+            site.delete("keyed.servers", &leaving.id);
         });
     }
 
     /// The store comes back from a copy that is some time old; what the operator and the servers wrote is written again a moment later.
     fn come_back_from_copy(self: &Arc<Self>, random: &mut StdRng, age: Duration) {
-        let copy = self.site.standin.store.copy();
+        let copy = self.site.standin.store.snapshot();
         let again_after = Duration::from_millis(random.random_range(0..400));
         let soak = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(age).await;
             let store = &soak.site.standin.store;
-            let before = store.come_back_from(copy);
+            let before = store.restore(copy);
             tokio::time::sleep(again_after).await;
-            store.write_again(&before);
+            store.replay_lost_writes(&before);
         });
     }
 
     /// A plain endpoint refuses for a while and asks for rest each time.
-    fn ask_for_rest(&self, random: &mut StdRng, lasts: Duration) {
+    fn start_cooldown_fault(&self, random: &mut StdRng, lasts: Duration) {
         let app = self.any_app(random);
         app.set_fault(ServerFault::Refuses);
-        app.ask_for_rest(Some("0.7"));
+        app.set_cooldown(Some("0.7"));
         tokio::spawn(async move {
             tokio::time::sleep(lasts).await;
             app.set_fault(ServerFault::None);
-            app.ask_for_rest(None);
+            app.set_cooldown(None);
         });
     }
 
@@ -455,7 +455,7 @@
         let engines = self.engines.lock();
         let limited = vec![self.site.apps[0].clone(), engines[0].0.clone()];
         for server in &limited {
-            server.name_limit(Some(LIMIT));
+            server.announce_limit(Some(LIMIT));
         }
         limited
     }
@@ -515,15 +515,15 @@
                 && self
                     .site
                     .standin
-                    .runs_of(&told.request)
+                    .servers_that_ran(&told.request)
                     .contains(&told.server);
-            if told.said_leaving && is_passed_on {
+            if told.announced_draining && is_passed_on {
                 heard_leaving += 1;
                 let late: Vec<&str> = later.clone().map(|one| one.request.as_str()).collect();
                 assert!(late.is_empty(), "{late:?} reached {}", told.server);
             }
             // The clock of the one that is suspended runs ahead of the servers'.
-            if let Some(until) = told.rest_until
+            if let Some(until) = told.cooldown_until
                 && heard.instance != suspended
                 && matches!(heard.status, Some(200 | 503))
             {
@@ -557,7 +557,7 @@
     }
 
     fn check(&self, seen: &Seen) {
-        let runs = self.site.standin.runs_of(&seen.id).len();
+        let runs = self.site.standin.servers_that_ran(&seen.id).len();
         let id = &seen.id;
         assert!(runs <= 1, "{id} ran {runs} times");
         if matches!(seen.status, Some(408 | 421 | 429 | 503)) {
--- a/tests/store_copies.rs
+++ b/tests/store_copies.rs
@@ -13,8 +13,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restored_copy_offsets_reassigned_no_records_missed() {
     let site = RoutedSite::start(1).await;
-    let mut copy = site.standin.store.copy();
-    let lost = site.standin.server("app", ServerKind::Plain).await.unwrap();
+    let mut copy = site.standin.store.snapshot();
+    let lost = site
+        .standin
+        .start_server("app", ServerKind::Plain)
+        .await
+        .unwrap();
     let instance = site.instance("n1").await;
     until("endpoint listed", async || {
         instance.standing(&lost).await == "ready"
@@ -22,14 +26,14 @@
     .await;
     let new = site
         .standin
-        .server_unlisted("app", ServerKind::Plain)
+        .start_unlisted_server("app", ServerKind::Plain)
         .await
         .unwrap();
     // As many records as were lost, but of another endpoint.
-    let entry = SiteStandin::entry(&new, &json!({}));
+    let entry = SiteStandin::server_entry(&new, &json!({}));
     copy.put("keyed.servers", &new.id, &entry);
-    let _ = site.standin.store.come_back_from(copy);
-    site.standin.list(&lost, "ready");
+    let _ = site.standin.store.restore(copy);
+    site.standin.list_server(&lost, "ready");
     for server in [&new, &lost] {
         until("endpoint listed after the restore", async || {
             instance.standing(server).await == "ready"
@@ -44,16 +48,17 @@
 async fn restored_copy_hall_evacuated_at_lower_offset_evacuated() {
     let site = RoutedSite::start(2).await;
     let app = &site.apps[0];
-    site.standin.list_with(app, &json!({"zone": "hall-9"}));
-    let copy = site.standin.store.copy();
+    site.standin
+        .list_server_with(app, &json!({"zone": "hall-9"}));
+    let copy = site.standin.store.snapshot();
     for version in 3..9 {
         site.standin.publish(version, &[KEY]);
     }
     let first = site.instance("n1").await;
     let second = site.instance_with_seeds("n2", &[&first]);
     second.until_ready().await;
-    let _ = site.standin.store.come_back_from(copy);
-    site.standin.evacuate("hall-9");
+    let _ = site.standin.store.restore(copy);
+    site.standin.evacuate_hall("hall-9");
     for instance in [&first, &second] {
         until("hall evacuated", async || {
             instance.standing(app).await == "evacuated"
@@ -68,10 +73,11 @@
 async fn restored_copy_lacks_acknowledged_records_known_state_kept() {
     let site = RoutedSite::start(2).await;
     let app = &site.apps[0];
-    site.standin.list_with(app, &json!({"zone": "hall-9"}));
-    let copy = site.standin.store.copy();
+    site.standin
+        .list_server_with(app, &json!({"zone": "hall-9"}));
+    let copy = site.standin.store.snapshot();
     let instance = site.instance("n1").await;
-    site.standin.evacuate("hall-9");
+    site.standin.evacuate_hall("hall-9");
     site.standin.publish(3, &["another-key"]);
     until("hall evacuated", async || {
         instance.standing(app).await == "evacuated"
@@ -81,7 +87,7 @@
         instance.call("/once/a", "revoked").await.status == 401
     })
     .await;
-    let before = site.standin.store.come_back_from(copy);
+    let before = site.standin.store.restore(copy);
     until("restore logged", async || {
         instance.has_line("store came back from an older copy")
     })
@@ -91,7 +97,7 @@
         let answer = instance.call("/once/a", &format!("still-{number}")).await;
         assert_eq!(answer.status, 401, "{answer:?}");
     }
-    site.standin.store.write_again(&before);
+    site.standin.store.replay_lost_writes(&before);
     site.standin.publish(4, &[KEY]);
     until("next configuration in force", async || {
         instance.call("/once/a", "next").await.status == 200
@@ -104,7 +110,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restored_copy_lacks_own_entry_entry_rewritten() {
     let site = RoutedSite::start(1).await;
-    let copy = site.standin.store.copy();
+    let copy = site.standin.store.snapshot();
     let _instance = site.instance("n1").await;
     let is_announced = || {
         site.standin
@@ -113,7 +119,7 @@
             .contains(&"n1".to_owned())
     };
     until("entry written", async || is_announced()).await;
-    let _ = site.standin.store.come_back_from(copy);
+    let _ = site.standin.store.restore(copy);
     until("entry written again", async || is_announced()).await;
 }
 
@@ -123,12 +129,12 @@
     let site = RoutedSite::start(1).await;
     let store = &site.standin.store;
     for _ in 0..2 {
-        store.come_back_from(store.copy());
+        store.restore(store.snapshot());
     }
     let instance = site.instance("n1").await;
     let mut version = 2;
     for text in ["18446744073709551615", "-1", "soon", "", "2.5"] {
-        store.tell_era(Some(text));
+        store.override_era(Some(text));
         version += 1;
         site.standin.publish(version, &[KEY]);
         until("configuration in force", async || {
@@ -141,9 +147,9 @@
             "era sent as {text:?}"
         );
     }
-    store.tell_era(None);
-    let before = store.come_back_from(store.copy());
-    store.write_again(&before);
+    store.override_era(None);
+    let before = store.restore(store.snapshot());
+    store.replay_lost_writes(&before);
     until("next era", async || {
         instance.state().await["store_era"] == 3
     })
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -69,7 +69,7 @@
         };
         site.store = site.standin.store_address();
         for _ in 0..apps {
-            let app = site.standin.server("app", ServerKind::Plain).await;
+            let app = site.standin.start_server("app", ServerKind::Plain).await;
             site.apps.push(app.expect("server starts"));
         }
         site
@@ -77,7 +77,7 @@
 
     /// Starts an engine.
     pub async fn engine(&self) -> Arc<Server> {
-        let engine = self.standin.server("llm", ServerKind::Engine).await;
+        let engine = self.standin.start_server("llm", ServerKind::Engine).await;
         engine.expect("engine starts")
     }
 
@@ -92,11 +92,11 @@
     }
 
     async fn behind_proxy(&self, service: &str, kind: ServerKind) -> (Arc<Server>, Proxy) {
-        let server = self.standin.server_unlisted(service, kind).await;
+        let server = self.standin.start_unlisted_server(service, kind).await;
         let server = server.expect("server starts");
-        let proxy = Proxy::start(server.own_address()).await;
-        server.list_at(proxy.address);
-        self.standin.list(&server, "ready");
+        let proxy = Proxy::start(server.listen_address()).await;
+        server.set_listed_address(proxy.address);
+        self.standin.list_server(&server, "ready");
         (server, proxy)
     }
 
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -29,13 +29,13 @@
 /// Starts a site whose routes have long timeouts.
 async fn site_with_long_timeouts(apps: usize) -> RoutedSite {
     let site = RoutedSite::start(apps).await;
-    let mut config = site.standin.usual_config(3, &[KEY]);
+    let mut config = site.standin.default_config(3, &[KEY]);
     let routes = config["routes"].as_array_mut().expect("routes");
     for route in routes {
         route["timeout-ms"] = json!(CALL_TIMEOUT.as_millis());
         route["goal-ms"] = json!(CALL_TIMEOUT.as_millis());
     }
-    site.standin.publish_value(&config);
+    site.standin.publish_config(&config);
     site
 }
 
@@ -45,7 +45,7 @@
     site.apps[0].set_fault(ServerFault::RunsAndHangs);
     let instance = Suspendable::start(&site, "n1").await;
     let calling = tokio::spawn(answered(request(&instance, "/once/1", "c1")));
-    until("sent", async || site.apps[0].requests() == 1).await;
+    until("sent", async || site.apps[0].request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
     until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
@@ -59,7 +59,7 @@
     engine.set_fault(ServerFault::RunsAndHangs);
     let instance = Suspendable::start(&site, "n1").await;
     let calling = tokio::spawn(answered(request(&instance, "/chat/2", "g1")));
-    until("sent", async || engine.requests() == 1).await;
+    until("sent", async || engine.request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
     until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
@@ -78,5 +78,5 @@
     until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
     assert_eq!(answer.status, 503, "{answer:?}");
-    assert_eq!(engine.requests(), 0);
+    assert_eq!(engine.request_count(), 0);
 }
