--- a/benches/in_force.rs
+++ b/benches/in_force.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{Process, Site, get, until_peers};
+use support::{Process, Site, get_json, wait_for_peers};
 
 const PUBLISHES: u32 = 20;
 const INSTANCES: u64 = 6;
 const LOOK_EVERY: Duration = Duration::from_millis(10);
 
 async fn is_in_force(instance: &Process, region: &str) -> bool {
-    let config = get(format!("http://{}/config", instance.address("operator"))).await;
+    let config = get_json(format!("http://{}/config", instance.address("operator"))).await;
     config["objects"]["hall/watched"]["object"]["region"] == region
 }
 
@@ -26,14 +26,14 @@
         let halls = ["h1", "h2", "h3"];
         let instances: Vec<Process> = (0..INSTANCES)
             .map(|index| {
-                site.instance(
+                site.start_instance(
                     &format!("i{index}"),
                     halls[usize::try_from(index % 3).expect("small")],
                 )
             })
             .collect();
         for instance in &instances {
-            until_peers(instance, INSTANCES - 1).await;
+            wait_for_peers(instance, INSTANCES - 1).await;
         }
         let mut took = Vec::new();
         for publish in 0..PUBLISHES {
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use serde_json::json;
-use support::{Site, objects, tool, until_serving};
+use support::{Site, config_objects, run_tool, wait_until_serving};
 
 /// An engine whose memory and batch are never full, so that only the way to it is measured.
 fn spec() -> serde_json::Value {
@@ -18,14 +18,14 @@
         let mut site = Site::new();
         site.worker_threads = serde_json::Value::Null;
         site.times = json!({});
-        let engine = site.engine("e1", &spec());
-        let mut published = objects("h", &[("e1", &engine)], &[]);
+        let engine = site.start_engine("e1", &spec());
+        let mut published = config_objects("h", &[("e1", &engine)], &[]);
         published[4]["kv_capacity_tokens"] = json!(10_000_000);
         assert!(site.publish(&published).status.success());
-        let instance = site.instance("i1", "h");
-        until_serving(&instance).await;
+        let instance = site.start_instance("i1", "h");
+        wait_until_serving(&instance).await;
         for streams in ["50", "500"] {
-            let output = tool(&[
+            let output = run_tool(&[
                 "load",
                 "overhead",
                 "--engine",
--- a/benches/store_returns.rs
+++ b/benches/store_returns.rs
@@ -10,7 +10,7 @@
 
 use larkwick::standin::site::KEY;
 use larkwick::standin::site::server::{Server, ServerKind};
-use support::site::{Instance, RoutedSite, until};
+use support::site::{Instance, RoutedSite, wait_until};
 
 const COUNTED_FOR: Duration = Duration::from_secs(10);
 const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(300);
@@ -31,7 +31,7 @@
     let state = instance.state().await;
     state["config_version"].as_u64() >= Some(version)
         && state["store_era"].as_u64() >= Some(era)
-        && instance.standing(server).await == "ready"
+        && instance.endpoint_availability(server).await == "ready"
 }
 
 /// How long after a moment each instance knows it, the slowest last.
@@ -58,12 +58,12 @@
     let mut instances: Vec<Instance> = Vec::new();
     for number in 0..count {
         let seeds: Vec<&Instance> = instances.iter().take(SEEDS).collect();
-        instances.push(site.instance_at_usual_times(&format!("n{number}"), &seeds));
+        instances.push(site.start_instance_with_default_times(&format!("n{number}"), &seeds));
     }
     for instance in &instances {
-        instance.until_ready().await;
+        instance.wait_until_ready().await;
     }
-    until("all have met", async || {
+    wait_until("all have met", async || {
         let state = instances[0].state().await;
         state["members"].as_array().map(Vec::len) == Some(count - 1)
     })
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -19,8 +19,8 @@
 
 use larkwick::standin::site::server::Server;
 use serde_json::{Value, json};
-use support::site::{Answered, Instance, RoutedSite, answered, until};
-use support::tool;
+use support::run_tool;
+use support::site::{HttpResponse, Instance, RoutedSite, send_request, wait_until};
 
 /// A request body that crashes each endpoint.
 const CRASHING_BODY: &[u8] = b"a body that no endpoint survives";
@@ -46,7 +46,7 @@
             instances: Vec::new(),
         };
         for _ in 0..engines {
-            let engine = started.site.engine().await;
+            let engine = started.site.start_engine().await;
             started.engines.push(engine);
         }
         started.start_instances(instances).await;
@@ -55,11 +55,11 @@
 
     async fn start_instances(&mut self, count: usize) {
         for number in 0..count {
-            let instance = self.site.instance(&format!("n{number}")).await;
+            let instance = self.site.start_instance(&format!("n{number}")).await;
             self.instances.push(instance);
         }
         for instance in &self.instances {
-            until("all members known", async || {
+            wait_until("all members known", async || {
                 let members = instance.state().await["members"].clone();
                 members.as_array().map_or(0, Vec::len) + 1 >= count
             })
@@ -68,7 +68,7 @@
     }
 
     /// Sends the request to the instances in turn, under a new id each time.
-    async fn call_in_turn(&self, path: &str, attempts: u32) -> Vec<(String, Answered)> {
+    async fn call_in_turn(&self, path: &str, attempts: u32) -> Vec<(String, HttpResponse)> {
         let mut answers = Vec::new();
         for (number, instance) in (0..attempts).zip(self.instances.iter().cycle()) {
             let id = format!("try-{number}");
@@ -85,16 +85,16 @@
 
 /// Sends the request; a connection that breaks before a response counts as a response without a
 /// status.
-async fn call(instance: &Instance, path: &str, id: &str) -> Answered {
+async fn call(instance: &Instance, path: &str, id: &str) -> HttpResponse {
     let request = instance.request(path, id).body(CRASHING_BODY);
     let tokens = [("larkwick-model", "m"), ("larkwick-token-count", "1000,8")];
     let request = tokens.into_iter().fold(request, |request, (name, value)| {
         request.header(name, value)
     });
-    answered(request).await
+    send_request(request).await
 }
 
-fn assert_refused_is_not_run(site: &RoutedSite, answers: &[(String, Answered)]) {
+fn assert_refused_is_not_run(site: &RoutedSite, answers: &[(String, HttpResponse)]) {
     for (id, answer) in answers.iter().filter(|(_, answer)| answer.status == 503) {
         assert!(
             site.standin.servers_that_ran(id).is_empty(),
@@ -125,7 +125,7 @@
     let crashing = CrashingSite::start(0, 3, 1).await;
     crashing.call_in_turn("/chat/2", 3).await;
     let instance = &crashing.instances[0];
-    until("three lines", async || {
+    wait_until("three lines", async || {
         aborted_request_fields(instance).len() == 3
     })
     .await;
@@ -146,17 +146,17 @@
     let crashing = CrashingSite::start(0, 8, 3).await;
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let crashed = crashing.crashed();
-    let fixed_engine = crashing.site.engine().await;
+    let fixed_engine = crashing.site.start_engine().await;
     fixed_engine.make_crash_proof();
     let standin = &crashing.site.standin;
     standin.list_server_with(&fixed_engine, &json!({"version": "v2"}));
     for (number, instance) in crashing.instances.iter().enumerate() {
         let mut attempts = 0;
-        until("served again", async || {
+        wait_until("served again", async || {
             attempts += 1;
             let id = format!("again-{number}-{attempts}");
             let answer = call(instance, "/chat/2", &id).await;
-            answer.status == 200 && answer.whole
+            answer.status == 200 && answer.is_complete
         })
         .await;
     }
@@ -173,7 +173,7 @@
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let crashed = crashing.crashed();
     for _ in 0..3 {
-        let engine = crashing.site.engine().await;
+        let engine = crashing.site.start_engine().await;
         let standin = &crashing.site.standin;
         standin.list_server_with(&engine, &json!({"version": "v2"}));
     }
@@ -187,24 +187,24 @@
     let crashing = CrashingSite::start(0, 12, 2).await;
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let operator = crashing.instances[0].operator_address();
-    let listed = tool(&["suspects", "list", "--operator", &operator, "--json"]);
+    let listed = run_tool(&["suspects", "list", "--operator", &operator, "--json"]);
     let listed: Value = serde_json::from_slice(&listed.stdout).expect("a list");
     assert_eq!(listed[0]["verdict"], "refused", "{listed}");
     let content = listed[0]["content"].as_str().expect("a content");
     for engine in &crashing.engines {
         engine.make_crash_proof();
     }
-    let let_go = tool(&["suspects", "let-go", content, "--operator", &operator]);
+    let let_go = run_tool(&["suspects", "let-go", content, "--operator", &operator]);
     assert!(let_go.status.success(), "{let_go:?}");
     let mut attempts = 0;
-    until("served at the other instance", async || {
+    wait_until("served at the other instance", async || {
         attempts += 1;
         let answer = call(&crashing.instances[1], "/chat/2", &format!("l{attempts}")).await;
-        answer.status == 200 && answer.whole
+        answer.status == 200 && answer.is_complete
     })
     .await;
     let unknown = "0".repeat(48);
-    let not_known = tool(&["suspects", "let-go", &unknown, "--operator", &operator]);
+    let not_known = run_tool(&["suspects", "let-go", &unknown, "--operator", &operator]);
     assert!(!not_known.status.success());
 }
 
@@ -219,18 +219,18 @@
         .enumerate()
         .map(|(number, instance)| {
             let request = instance.generation(60, &format!("beside-{number}"));
-            tokio::spawn(answered(request))
+            tokio::spawn(send_request(request))
         })
         .collect();
     crashing.call_in_turn("/chat/2", 4).await;
     assert!(crashing.crashed() >= 3);
     for (number, instance) in crashing.instances.iter().enumerate() {
         let mut attempts = 0;
-        until("served", async || {
+        wait_until("served", async || {
             attempts += 1;
             let id = format!("equal-{number}-{attempts}");
-            let answer = answered(instance.generation(60, &id)).await;
-            answer.status == 200 && answer.whole
+            let answer = send_request(instance.generation(60, &id)).await;
+            answer.status == 200 && answer.is_complete
         })
         .await;
     }
@@ -250,10 +250,10 @@
     // The first one lasts until the last generation of the engine is forgotten there; from then on
     // the engine looks the least loaded.
     for (number, events) in [80, 2, 2, 2].into_iter().enumerate() {
-        let answer = answered(instance.generation(events, &format!("after-{number}"))).await;
+        let answer = send_request(instance.generation(events, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    let lines = instance.lines.lock().expect("lines");
+    let lines = instance.log_lines.lock().expect("lines");
     let placed = lines
         .iter()
         .filter(|line| line["payload"] == "generation placed")
@@ -273,23 +273,28 @@
     let site = RoutedSite::start(0).await;
     site.standin.crash_servers_on(CRASHING_BODY);
     for _ in 0..CRASHED_MAX {
-        site.engine().await;
+        site.start_engine().await;
     }
-    let first = site.instance("n0").await;
+    let first = site.start_instance("n0").await;
     let seed = first.peer_address();
     let instances: Vec<Instance> = (1..count)
-        .map(|number| site.instance_seeded(&format!("n{number}"), std::slice::from_ref(&seed)))
+        .map(|number| {
+            site.start_instance_with_seed_addresses(
+                &format!("n{number}"),
+                std::slice::from_ref(&seed),
+            )
+        })
         .collect();
     for instance in &instances {
-        instance.until_ready().await;
+        instance.wait_until_ready().await;
     }
-    until("all members known", async || {
+    wait_until("all members known", async || {
         let members = first.state().await["members"].clone();
         members.as_array().map_or(0, Vec::len) + 1 >= count
     })
     .await;
     let mut attempts = 0;
-    until("refused where it was seen", async || {
+    wait_until("refused where it was seen", async || {
         attempts += 1;
         call(&first, "/chat/2", &format!("t{attempts}"))
             .await
@@ -299,8 +304,8 @@
     .await;
     let began_at = std::time::Instant::now();
     for instance in &instances {
-        until("known", async || {
-            let known = instance.operators("/suspects").await;
+        wait_until("known", async || {
+            let known = instance.operator_json("/suspects").await;
             known[0]["verdict"] == "refused"
         })
         .await;
@@ -315,7 +320,7 @@
 
 /// Returns the log fields of the requests that endpoints aborted.
 fn aborted_request_fields(instance: &Instance) -> Vec<Value> {
-    let lines = instance.lines.lock().expect("lines");
+    let lines = instance.log_lines.lock().expect("lines");
     let aborted = lines.iter();
     let aborted = aborted.filter(|line| line["payload"] == "endpoint broke off");
     aborted.map(|line| line["kv"].clone()).collect()
--- a/tests/endpoint_words.rs
+++ b/tests/endpoint_words.rs
@@ -21,7 +21,7 @@
 use larkwick::platform::engine;
 use larkwick::standin::site::server::{Server, ServerFault};
 use larkwick::standin::site::store::StoreFault;
-use support::site::{Instance, RoutedSite, answered, event_numbers, until};
+use support::site::{Instance, RoutedSite, event_numbers, send_request, wait_until};
 
 /// Calls that show where calls go; with two endpoints that both take work, all at one of them is rarer than one in a billion.
 const CALLS: usize = 40;
@@ -40,7 +40,7 @@
 /// Calls until one has been answered by this server.
 async fn until_answered_by(instance: &Instance, server: &Server, name: &str) {
     let mut tries = 0;
-    until("answered by it", async || {
+    wait_until("answered by it", async || {
         tries += 1;
         instance.call("/calls/a", &format!("{name}-{tries}")).await;
         server.request_count() > 0
@@ -50,7 +50,7 @@
 
 /// Two engines; the first one refuses and asks for rest.
 async fn resting_engine(site: &RoutedSite) -> (Arc<Server>, Arc<Server>) {
-    let (resting, other) = (site.engine().await, site.engine().await);
+    let (resting, other) = (site.start_engine().await, site.start_engine().await);
     resting.set_fault(ServerFault::Refuses);
     resting.set_cooldown(Some(LONG_REST));
     (resting, other)
@@ -59,7 +59,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_said_in_an_answer_no_call_follows() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let leaving = &site.apps[0];
     leaving.announce_draining("1");
     until_answered_by(&instance, leaving, "first").await;
@@ -71,27 +71,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_said_by_an_engine_no_generation_follows_at_any_instance() {
     let site = RoutedSite::start(0).await;
-    let (leaving, other) = (site.engine().await, site.engine().await);
-    let first = site.instance("n1").await;
-    let second = site.instance_with_seeds("n2", &[&first]);
-    second.until_ready().await;
+    let (leaving, other) = (site.start_engine().await, site.start_engine().await);
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance_with_peers("n2", &[&first]);
+    second.wait_until_ready().await;
     leaving.announce_draining("1");
     let mut tries = 0;
-    until("answered by it", async || {
+    wait_until("answered by it", async || {
         tries += 1;
-        answered(first.generation(2, &format!("first-{tries}"))).await;
+        send_request(first.generation(2, &format!("first-{tries}"))).await;
         leaving.request_count() > 0
     })
     .await;
     for instance in [&first, &second] {
-        until("known", async || {
-            instance.standing(&leaving).await == "leaving"
+        wait_until("known", async || {
+            instance.endpoint_availability(&leaving).await == "leaving"
         })
         .await;
     }
     let before = leaving.request_count();
     for (number, instance) in [&first, &second].into_iter().cycle().take(20).enumerate() {
-        let answer = answered(instance.generation(2, &format!("after-{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
     assert_eq!(leaving.request_count(), before, "generations went on to it");
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rest_asked_by_an_endpoint_calls_go_elsewhere() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let resting = &site.apps[0];
     resting.set_fault(ServerFault::Refuses);
     resting.set_cooldown(Some(LONG_REST));
@@ -119,12 +119,12 @@
 async fn rest_asked_by_an_engine_generations_go_elsewhere() {
     let site = RoutedSite::start(0).await;
     let (resting, _other) = resting_engine(&site).await;
-    let first = site.instance("n1").await;
-    let second = site.instance_with_seeds("n2", &[&first]);
-    second.until_ready().await;
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance_with_peers("n2", &[&first]);
+    second.wait_until_ready().await;
     let instances = [&first, &second];
     for (number, instance) in instances.into_iter().cycle().take(16).enumerate() {
-        let answer = answered(instance.generation(2, &format!("g-{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("g-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         // Longer than the owner passes over an engine that has refused.
         tokio::time::sleep(Duration::from_millis(450)).await;
@@ -139,7 +139,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rest_asked_by_all_refused_at_once_and_told_when() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for app in &site.apps {
         app.set_fault(ServerFault::Refuses);
         app.set_cooldown(Some(LONG_REST));
@@ -163,7 +163,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rest_asked_by_all_ends_within_the_goal_waited_for() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let app = &site.apps[0];
     app.set_fault(ServerFault::Refuses);
     app.set_cooldown(Some("0.4"));
@@ -259,10 +259,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_said_by_an_engine_what_runs_there_is_moved() {
     let site = RoutedSite::start(0).await;
-    let engines = [site.engine().await, site.engine().await];
-    let instance = site.instance("n1").await;
-    let long = tokio::spawn(answered(instance.generation(200, "long")));
-    until("it runs", async || {
+    let engines = [site.start_engine().await, site.start_engine().await];
+    let instance = site.start_instance("n1").await;
+    let long = tokio::spawn(send_request(instance.generation(200, "long")));
+    wait_until("it runs", async || {
         engines.iter().any(|engine| engine.running_count() > 0)
     })
     .await;
@@ -274,16 +274,17 @@
     };
     leaving.announce_draining("1");
     let mut tries = 0;
-    until("known", async || {
+    wait_until("known", async || {
         tries += 1;
         // Several at once, so that some go to each engine.
-        let short = |number| answered(instance.generation(4, &format!("short-{number}-{tries}")));
+        let short =
+            |number| send_request(instance.generation(4, &format!("short-{number}-{tries}")));
         tokio::join!(short(1), short(2), short(3));
-        instance.standing(leaving).await == "leaving"
+        instance.endpoint_availability(leaving).await == "leaving"
     })
     .await;
     let answer = long.await.expect("answered");
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
     let numbers = event_numbers(&answer.body);
     assert_eq!(numbers, (1..=200).collect::<Vec<u32>>());
     assert!(other.request_headers("long").is_some(), "it went on there");
@@ -293,20 +294,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_said_by_all_while_the_list_is_away_refused_at_once() {
     let site = RoutedSite::start(1).await;
-    let engine = site.engine().await;
-    let instance = site.instance("n1").await;
+    let engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
     for server in [&site.apps[0], &engine] {
         server.announce_draining("1");
     }
     assert_eq!(instance.call("/calls/a", "first").await.status, 200);
     assert_eq!(
-        answered(instance.generation(2, "first-2")).await.status,
+        send_request(instance.generation(2, "first-2")).await.status,
         200
     );
     site.standin.store.set_fault(StoreFault::Busy);
-    until("told to come back once the list is back", async || {
+    wait_until("told to come back once the list is back", async || {
         let call = instance.call("/calls/a", "second").await;
-        let generation = answered(instance.generation(2, "second-2")).await;
+        let generation = send_request(instance.generation(2, "second-2")).await;
         assert_eq!((call.status, generation.status), (503, 503));
         call.retry_after >= Some(2.0) && generation.retry_after >= Some(2.0)
     })
@@ -315,7 +316,7 @@
 
 /// Names of headers that an instance has told once that nothing is made of, by whose they are.
 fn unknown_headers(instance: &Instance, kind: &str) -> BTreeSet<String> {
-    let lines = instance.lines.lock().expect("lines");
+    let lines = instance.log_lines.lock().expect("lines");
     let unknown = lines
         .iter()
         .filter(|line| line["payload"] == "unknown on the platform")
@@ -333,20 +334,20 @@
     site.apps[0].add_unknown_header("x-of-a-call");
     site.apps[1].add_unknown_header("x-of-a-refusal");
     site.apps[1].set_fault(ServerFault::Refuses);
-    let (source, target) = (site.engine().await, site.engine().await);
+    let (source, target) = (site.start_engine().await, site.start_engine().await);
     for engine in [&source, &target] {
         engine.add_unknown_header("x-of-an-engine");
     }
     site.standin.store.add_unknown_header("x-of-the-store");
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let known = async || {
         instance.call("/calls/a", "any").await;
-        answered(instance.generation(2, "any-2")).await;
+        send_request(instance.generation(2, "any-2")).await;
         unknown_headers(&instance, "endpoint's header")
     };
     let expected = ["x-of-a-call", "x-of-a-refusal", "x-of-an-engine"];
     let expected: BTreeSet<String> = expected.into_iter().map(str::to_owned).collect();
-    until("told", async || known().await == expected).await;
+    wait_until("told", async || known().await == expected).await;
     let of_store = unknown_headers(&instance, "store's header");
     assert_eq!(of_store, BTreeSet::from(["x-of-the-store".to_owned()]));
     let metrics = instance.metrics().await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -14,7 +14,7 @@
 
 use larkwick::standin::site::server::Server;
 use nix::sys::signal::Signal;
-use support::site::{Answered, Caller, Instance, RoutedSite, answered, until};
+use support::site::{Caller, HttpResponse, Instance, RoutedSite, send_request, wait_until};
 
 /// What the tests' endpoints name, and as it stands in the header.
 const LIMIT_PER_S: f64 = 2.5;
@@ -33,11 +33,11 @@
 
 /// Starts so many instances that know each other.
 async fn instances(site: &RoutedSite, count: usize) -> Vec<Instance> {
-    let first = site.instance("n0").await;
+    let first = site.start_instance("n0").await;
     let mut instances = vec![first];
     for number in 1..count {
-        let instance = site.instance_with_seeds(&format!("n{number}"), &[&instances[0]]);
-        instance.until_ready().await;
+        let instance = site.start_instance_with_peers(&format!("n{number}"), &[&instances[0]]);
+        instance.wait_until_ready().await;
         instances.push(instance);
     }
     instances
@@ -48,7 +48,7 @@
     instances: &[Instance],
     pause: Duration,
     request: impl Fn(&Caller, &str) -> reqwest::RequestBuilder,
-) -> Vec<Answered> {
+) -> Vec<HttpResponse> {
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
     let begun = Instant::now();
     let mut asked = Vec::new();
@@ -57,7 +57,7 @@
             break;
         }
         let request = request(caller, &format!("r{number}"));
-        asked.push(tokio::spawn(answered(request)));
+        asked.push(tokio::spawn(send_request(request)));
         tokio::time::sleep(pause).await;
     }
     let mut answers = Vec::new();
@@ -102,7 +102,7 @@
     let site = RoutedSite::start(0).await;
     let mut engines = Vec::new();
     for _ in 0..3 {
-        engines.push(site.engine().await);
+        engines.push(site.start_engine().await);
     }
     let instances = instances(&site, 4).await;
     let named_at = Instant::now();
@@ -158,7 +158,7 @@
     app.announce_limit(Some("0"));
     let all_know = async |named: bool| {
         for instance in &instances {
-            until("all know", async || {
+            wait_until("all know", async || {
                 instance.call("/calls/a", "any").await;
                 let state = instance.state().await;
                 let endpoints = state["endpoints"].as_object().cloned().unwrap_or_default();
@@ -233,7 +233,7 @@
     };
     app.announce_limit(Some(LIMIT));
     for instance in &instances {
-        until("known", async || {
+        wait_until("known", async || {
             instances[0].call("/calls/a", "any").await;
             limit_at(instance).await == Some(LIMIT_PER_S)
         })
@@ -241,7 +241,7 @@
     }
     app.announce_limit(None);
     for instance in &instances {
-        until("known to be over", async || {
+        wait_until("known to be over", async || {
             instances[0].call("/calls/a", "any").await;
             limit_at(instance).await.is_none()
         })
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -4,7 +4,8 @@
 
 use serde_json::{Value, json};
 use support::{
-    Process, Site, complete, dump, get, objects, tool, until, until_peers, until_serving,
+    Process, Site, complete, config_objects, debug_state, get_json, run_tool, wait_for_peers,
+    wait_until, wait_until_serving,
 };
 
 fn hall(name: &str, region: &str) -> Value {
@@ -13,12 +14,12 @@
 
 /// The region of a hall as an instance has it in force.
 async fn region(instance: &Process, name: &str) -> Value {
-    let config = get(format!("http://{}/config", instance.address("operator"))).await;
+    let config = get_json(format!("http://{}/config", instance.address("operator"))).await;
     config["objects"][format!("hall/{name}")]["object"]["region"].clone()
 }
 
 async fn until_region(instance: &Process, name: &str, wanted: &str) {
-    until("the configuration is in force", || async {
+    wait_until("the configuration is in force", || async {
         region(instance, name).await == wanted
     })
     .await;
@@ -28,18 +29,18 @@
 async fn two_operators_race_one_accepted_all_agree() {
     let site = Site::new();
     let instances = [
-        site.instance("i1", "h"),
-        site.instance("i2", "h"),
-        site.instance("i3", "h"),
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+        site.start_instance("i3", "h"),
     ];
     for instance in &instances {
-        until_peers(instance, 2).await;
+        wait_for_peers(instance, 2).await;
     }
     let platform = site.platform.address("address");
     let files: Vec<String> = (0..6)
         .map(|operator| {
             let objects = json!({"objects": [hall("raced", &format!("r{operator}"))]});
-            let path = site.write(&format!("race-{operator}.jsonc"), &objects.to_string());
+            let path = site.write_file(&format!("race-{operator}.jsonc"), &objects.to_string());
             path.to_str().expect("path").to_owned()
         })
         .collect();
@@ -47,7 +48,9 @@
         .into_iter()
         .map(|file| {
             let platform = platform.clone();
-            std::thread::spawn(move || tool(&["publish", "--json", "--platform", &platform, &file]))
+            std::thread::spawn(move || {
+                run_tool(&["publish", "--json", "--platform", &platform, &file])
+            })
         })
         .collect();
     let outputs: Vec<_> = racing
@@ -63,11 +66,11 @@
     let offsets = || async {
         let mut states = Vec::new();
         for instance in &instances {
-            states.push(get(format!("http://{}/config", instance.address("operator"))).await);
+            states.push(get_json(format!("http://{}/config", instance.address("operator"))).await);
         }
         states
     };
-    until("all instances agree", || async {
+    wait_until("all instances agree", || async {
         let states = offsets().await;
         states.iter().all(|state| {
             state["objects"] == states[0]["objects"] && state["objects"]["hall/raced"].is_object()
@@ -79,8 +82,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_reply_lost_resolved_by_reading() {
     let site = Site::new();
-    let instance = site.instance("i1", "h");
-    site.platform_faults(&json!({"lose_replies": 1})).await;
+    let instance = site.start_instance("i1", "h");
+    site.set_platform_faults(&json!({"lose_replies": 1})).await;
     let published = site.publish(&json!([hall("a", "one")]));
     assert_eq!(published.status.code(), Some(0), "{published:?}");
     until_region(&instance, "a", "one").await;
@@ -94,10 +97,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_outage_told_apart() {
     let site = Site::new();
-    site.platform_faults(&json!({"outage": true})).await;
+    site.set_platform_faults(&json!({"outage": true})).await;
     let refused = site.publish(&json!([hall("a", "one")]));
     assert_eq!(refused.status.code(), Some(4), "{refused:?}");
-    site.platform_faults(&json!({})).await;
+    site.set_platform_faults(&json!({})).await;
     let invalid = site.publish(&json!([{"kind": "hall", "name": "b", "region": ""}]));
     assert_eq!(invalid.status.code(), Some(1), "{invalid:?}");
     let text = String::from_utf8_lossy(&invalid.stderr).into_owned();
@@ -114,27 +117,30 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn outage_newcomers_take_state_from_peers_and_serve() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let mut instances = vec![site.instance("i1", "h"), site.instance("i2", "h")];
+    let mut instances = vec![
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+    ];
     for instance in &instances {
-        until_peers(instance, 1).await;
-        until_serving(instance).await;
+        wait_for_peers(instance, 1).await;
+        wait_until_serving(instance).await;
     }
     // Newcomers find their peers by the list, or by what the peers were told of it before.
-    site.platform_faults(&json!({"log_outage": true})).await;
+    site.set_platform_faults(&json!({"log_outage": true})).await;
     for (index, replaced) in instances.iter_mut().enumerate() {
-        let newcomer = site.instance(&format!("j{index}"), "h");
+        let newcomer = site.start_instance(&format!("j{index}"), "h");
         until_region(&newcomer, "h", "test").await;
-        until_serving(&newcomer).await;
+        wait_until_serving(&newcomer).await;
         replaced.kill();
         *replaced = newcomer;
     }
-    site.platform_faults(&json!({})).await;
+    site.set_platform_faults(&json!({})).await;
     assert!(
         site.publish(&json!([hall("later", "two")]))
             .status
@@ -150,42 +156,46 @@
 async fn retention_runs_out_all_instances_replaced_nothing_lost() {
     let mut site = Site::new();
     site.times["log_retention_ms"] = json!(4000);
-    site.platform_faults(&json!({"retention_ms": 4000})).await;
-    let first = site.instance("i1", "h");
+    site.set_platform_faults(&json!({"retention_ms": 4000}))
+        .await;
+    let first = site.start_instance("i1", "h");
     assert!(site.publish(&json!([hall("kept", "one")])).status.success());
     until_region(&first, "kept", "one").await;
     let mut current = first;
     for index in 0..3 {
         // Wait until every record that the current instance started from has expired.
-        let before = dump(&current).await["config"]["next_offset"]
+        let before = debug_state(&current).await["config"]["next_offset"]
             .as_u64()
             .expect("offset");
         let url = format!(
             "http://{}/log/config?from=0",
             site.platform.address("address")
         );
-        until("the records have expired", || async {
-            get(url.clone()).await["first_kept"].as_u64() > Some(before)
+        wait_until("the records have expired", || async {
+            get_json(url.clone()).await["first_kept"].as_u64() > Some(before)
         })
         .await;
-        let newcomer = site.instance(&format!("j{index}"), "h");
+        let newcomer = site.start_instance(&format!("j{index}"), "h");
         until_region(&newcomer, "kept", "one").await;
         current = newcomer;
     }
-    assert_eq!(dump(&current).await["config"]["snapshot_disagreements"], 0);
+    assert_eq!(
+        debug_state(&current).await["config"]["snapshot_disagreements"],
+        0
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_frozen_serving_goes_on_and_catches_up() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     site.platform.signal(nix::sys::signal::Signal::SIGSTOP);
     for _ in 0..20 {
         assert_eq!(
@@ -209,23 +219,23 @@
     let mut site = Site::new();
     // Snapshots are due every quarter of this; what expires, the test says.
     site.times["log_retention_ms"] = json!(1000);
-    let mut last = site.instance("i1", "h");
+    let mut last = site.start_instance("i1", "h");
     assert!(site.publish(&json!([hall("kept", "one")])).status.success());
     until_region(&last, "kept", "one").await;
-    let published = dump(&last).await["config"]["next_offset"]
+    let published = debug_state(&last).await["config"]["next_offset"]
         .as_u64()
         .expect("offset");
-    until("a snapshot covers it", || async {
-        let snapshot = dump(&last).await["config"]["snapshot_next_offset"].as_u64();
+    wait_until("a snapshot covers it", || async {
+        let snapshot = debug_state(&last).await["config"]["snapshot_next_offset"].as_u64();
         snapshot >= Some(published)
     })
     .await;
     last.kill();
-    site.platform_faults(&json!({"expire_before": published}))
+    site.set_platform_faults(&json!({"expire_before": published}))
         .await;
-    let newcomer = site.instance("j1", "h");
+    let newcomer = site.start_instance("j1", "h");
     until_region(&newcomer, "kept", "one").await;
-    let shown = tool(&[
+    let shown = run_tool(&[
         "config",
         "show",
         "--platform",
--- a/tests/promise_leaving.rs
+++ b/tests/promise_leaving.rs
@@ -8,20 +8,21 @@
 
 use serde_json::{Value, json};
 use support::{
-    Process, Site, Streamed, call, call_once, complete, dump, get, objects, read_stream, runs,
-    send, set_faults, streaming, ticket, tool, until, until_peers, until_serving,
+    Process, Site, StreamResult, complete, config_objects, debug_state, fetch_ticket, get_json,
+    non_repeatable_call, read_stream, run_count, run_tool, send_request, service_call, set_faults,
+    streamed_completion, wait_for_peers, wait_until, wait_until_serving,
 };
 
 const ALL: usize = usize::MAX;
 
 async fn started(engine: &Process) -> u64 {
-    let counters = get(format!("http://{}/counters", engine.address("control"))).await;
+    let counters = get_json(format!("http://{}/counters", engine.address("control"))).await;
     counters["started_total"].as_u64().expect("counter")
 }
 
 /// Whether an instance knows that an endpoint is leaving.
 async fn knows_departure(instance: &Process, name: &str) -> bool {
-    let state = dump(instance).await;
+    let state = debug_state(instance).await;
     let departures = state["departures"].as_array().expect("list").clone();
     departures.iter().any(|departed| departed["name"] == name)
 }
@@ -30,32 +31,32 @@
 async fn endpoint_leaving_no_new_work_list_lagging_and_flapping() {
     let site = Site::new();
     let engines = [
-        site.engine("e1", &json!({"step_us": 1000})),
-        site.engine("e2", &json!({"step_us": 1000})),
+        site.start_engine("e1", &json!({"step_us": 1000})),
+        site.start_engine("e2", &json!({"step_us": 1000})),
     ];
-    let service = [site.service("s1"), site.service("s2")];
-    let published = objects(
+    let service = [site.start_service("s1"), site.start_service("s2")];
+    let published = config_objects(
         "h",
         &[("e1", &engines[0]), ("e2", &engines[1])],
         &[("s1", &service[0]), ("s2", &service[1])],
     );
     assert!(site.publish(&published).status.success());
     let entries = [
-        site.instance("i1", "h"),
-        site.instance("i2", "h"),
-        site.instance("i3", "h"),
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+        site.start_instance("i3", "h"),
     ];
     for entry in &entries {
-        until_peers(entry, 2).await;
-        until_serving(entry).await;
+        wait_for_peers(entry, 2).await;
+        wait_until_serving(entry).await;
     }
     // The list shows the leaving ones as live for good.
-    site.platform_faults(&json!({"list_as_live": ["e1", "s1"]}))
+    site.set_platform_faults(&json!({"list_as_live": ["e1", "s1"]}))
         .await;
     set_faults(&engines[0], &json!({"leaving": true})).await;
     set_faults(&service[0], &json!({"leaving": true})).await;
     for entry in &entries {
-        until("every entry knows", || async {
+        wait_until("every entry knows", || async {
             knows_departure(entry, "e1").await && knows_departure(entry, "s1").await
         })
         .await;
@@ -72,8 +73,8 @@
             complete(&entry, &json!({"max_tokens": 2})).await.status,
             200
         );
-        assert_eq!(send(call(&entry, &text)).await.status, 200);
-        assert_eq!(runs(&service[0], &text).await, 0);
+        assert_eq!(send_request(service_call(&entry, &text)).await.status, 200);
+        assert_eq!(run_count(&service[0], &text).await, 0);
     }
     assert_eq!(
         started(&engines[0]).await,
@@ -86,17 +87,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_replaced_new_incarnation_gets_work() {
     let site = Site::new();
-    let mut engine = site.engine("e1", &json!({"step_us": 1000}));
+    let mut engine = site.start_engine("e1", &json!({"step_us": 1000}));
     let address = engine.address("address");
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     set_faults(&engine, &json!({"leaving": true})).await;
-    until("the departure is known", || {
+    wait_until("the departure is known", || {
         knows_departure(&instance, "e1")
     })
     .await;
@@ -123,7 +124,7 @@
             "m@1",
         ],
     );
-    until_serving(&instance).await;
+    wait_until_serving(&instance).await;
 }
 
 /// A caller as docs/CALLERS.md tells it to be: it keeps an answer of entries, follows `moved`, and takes a new answer when the old
@@ -131,7 +132,7 @@
 async fn caller(first_entry: String, stop: Arc<AtomicBool>) -> Vec<String> {
     let mut cut = Vec::new();
     while !stop.load(Ordering::Relaxed) {
-        let answer = get(format!("http://{first_entry}/v1/entries")).await;
+        let answer = get_json(format!("http://{first_entry}/v1/entries")).await;
         let entry = answer["entries"][0]["address"]
             .as_str()
             .expect("an entry is named")
@@ -157,16 +158,20 @@
 }
 
 /// Reads a stream to its end, at other entries where it is moved.
-async fn follow(entry: &str) -> Streamed {
+async fn follow(entry: &str) -> StreamResult {
     let fields = json!({"prompt": "#length=150 x", "max_tokens": 150});
-    let mut streamed = read_stream(streaming(entry, &fields), ALL).await;
+    let mut streamed = read_stream(streamed_completion(entry, &fields), ALL).await;
     while streamed.end == "moved" {
         let next = streamed.last["entries"][0]
             .as_str()
             .unwrap_or("")
             .to_owned();
         let last = streamed.ids.last().cloned().unwrap_or_default();
-        let rest = read_stream(streaming(&next, &fields).header("Last-Event-ID", last), ALL).await;
+        let rest = read_stream(
+            streamed_completion(&next, &fields).header("Last-Event-ID", last),
+            ALL,
+        )
+        .await;
         streamed.ids.extend(rest.ids);
         streamed.text += &rest.text;
         streamed.end = rest.end;
@@ -176,8 +181,8 @@
 }
 
 async fn until_ended(instance: &mut Process) {
-    until("the instance has stopped", || {
-        let ended = instance.ended_well();
+    wait_until("the instance has stopped", || {
+        let ended = instance.exit_success();
         async move { ended == Some(true) }
     })
     .await;
@@ -189,31 +194,35 @@
     // Streams of the test take longer than a draining entry lets them run, so that some must be moved.
     site.times["drain_streams_ms"] = json!(100);
     let engines = [
-        site.engine("e1", &json!({"step_us": 10_000})),
-        site.engine("e2", &json!({"step_us": 10_000})),
+        site.start_engine("e1", &json!({"step_us": 10_000})),
+        site.start_engine("e2", &json!({"step_us": 10_000})),
     ];
-    let published = objects("h", &[("e1", &engines[0]), ("e2", &engines[1])], &[]);
+    let published = config_objects("h", &[("e1", &engines[0]), ("e2", &engines[1])], &[]);
     assert!(site.publish(&published).status.success());
     let mut entries = [
-        site.instance("i1", "h"),
-        site.instance("i2", "h"),
-        site.instance("i3", "h"),
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+        site.start_instance("i3", "h"),
     ];
     // This one is asked for entries throughout and is not replaced.
-    let asked = site.instance("asked", "h");
-    until_peers(&asked, 3).await;
-    until_serving(&asked).await;
+    let asked = site.start_instance("asked", "h");
+    wait_for_peers(&asked, 3).await;
+    wait_until_serving(&asked).await;
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..6)
         .map(|_| tokio::spawn(caller(asked.address("caller"), stop.clone())))
         .collect();
     for (index, entry) in entries.iter_mut().enumerate() {
         let name = format!("j{index}");
-        let replacement = site.instance(&name, "h");
-        until_peers(&replacement, 3).await;
+        let replacement = site.start_instance(&name, "h");
+        wait_for_peers(&replacement, 3).await;
         let mut leaving = std::mem::replace(entry, replacement);
         let operator = leaving.address("operator");
-        assert!(tool(&["drain", "--operator", &operator]).status.success());
+        assert!(
+            run_tool(&["drain", "--operator", &operator])
+                .status
+                .success()
+        );
         until_ended(&mut leaving).await;
     }
     stop.store(true, Ordering::Relaxed);
@@ -226,28 +235,29 @@
 async fn planned_stop_old_answers_still_served() {
     let mut site = Site::new();
     site.times["entries_valid_ms"] = json!(3000);
-    let service = site.service("s1");
+    let service = site.start_service("s1");
     assert!(
-        site.publish(&objects("h", &[], &[("s1", &service)]))
+        site.publish(&config_objects("h", &[], &[("s1", &service)]))
             .status
             .success()
     );
-    let mut leaving = site.instance("i1", "h");
-    let staying = site.instance("i2", "h");
-    until_peers(&staying, 1).await;
-    let old = ticket(&staying.address("caller"), "i1").await;
+    let mut leaving = site.start_instance("i1", "h");
+    let staying = site.start_instance("i2", "h");
+    wait_for_peers(&staying, 1).await;
+    let old = fetch_ticket(&staying.address("caller"), "i1").await;
     let address = leaving.address("caller");
-    until("the service answers", || async {
-        send(call(&address, "warm")).await.status == 200
+    wait_until("the service answers", || async {
+        send_request(service_call(&address, "warm")).await.status == 200
     })
     .await;
     assert!(
-        tool(&["drain", "--operator", &leaving.address("operator")])
+        run_tool(&["drain", "--operator", &leaving.address("operator")])
             .status
             .success()
     );
-    until("peers name it no more", || async {
-        let answer: Value = get(format!("http://{}/v1/entries", staying.address("caller"))).await;
+    wait_until("peers name it no more", || async {
+        let answer: Value =
+            get_json(format!("http://{}/v1/entries", staying.address("caller"))).await;
         answer["entries"]
             .as_array()
             .expect("list")
@@ -256,9 +266,9 @@
     })
     .await;
     // Its peers name it no more; whoever holds the old answer is served, a once-only request included.
-    let served = send(call_once(&address, &old, "k1", "old answer")).await;
+    let served = send_request(non_repeatable_call(&address, &old, "k1", "old answer")).await;
     assert_eq!(served.status, 200, "{served:?}");
-    assert_eq!(runs(&service, "old answer").await, 1);
+    assert_eq!(run_count(&service, "old answer").await, 1);
     until_ended(&mut leaving).await;
 }
 
@@ -266,26 +276,26 @@
 async fn planned_stop_long_stream_moved_not_waited_for() {
     let mut site = Site::new();
     site.times["drain_streams_ms"] = json!(100);
-    let engine = site.engine("e1", &json!({"step_us": 10_000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 10_000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let mut leaving = site.instance("i1", "h");
-    let staying = site.instance("i2", "h");
-    until_peers(&leaving, 1).await;
-    until_serving(&leaving).await;
+    let mut leaving = site.start_instance("i1", "h");
+    let staying = site.start_instance("i2", "h");
+    wait_for_peers(&leaving, 1).await;
+    wait_until_serving(&leaving).await;
     let address = leaving.address("caller");
     // It would take half an hour.
     let fields = json!({"prompt": "#length=90000 x", "max_tokens": 90_000});
-    let reading = tokio::spawn(read_stream(streaming(&address, &fields), ALL));
-    until("the stream runs", || async {
-        dump(&leaving).await["status"]["requests_active"].as_u64() > Some(0)
+    let reading = tokio::spawn(read_stream(streamed_completion(&address, &fields), ALL));
+    wait_until("the stream runs", || async {
+        debug_state(&leaving).await["status"]["requests_active"].as_u64() > Some(0)
     })
     .await;
     assert!(
-        tool(&["drain", "--operator", &leaving.address("operator")])
+        run_tool(&["drain", "--operator", &leaving.address("operator")])
             .status
             .success()
     );
@@ -293,7 +303,8 @@
     assert_eq!(begun.end, "moved", "{:?}", begun.last);
     assert_eq!(begun.last["entries"], json!([staying.address("caller")]));
     let last = begun.ids.last().expect("tokens").clone();
-    let resumed = streaming(&staying.address("caller"), &fields).header("Last-Event-ID", last);
+    let resumed =
+        streamed_completion(&staying.address("caller"), &fields).header("Last-Event-ID", last);
     let rest = read_stream(resumed, 50).await;
     let expected: Vec<u32> = (0..).skip(begun.ids.len()).take(50).collect();
     assert_eq!(rest.indices(), expected);
--- a/tests/promise_orders.rs
+++ b/tests/promise_orders.rs
@@ -5,15 +5,18 @@
 
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
-use support::{Process, Site, complete, dump, get, objects, until, until_peers, until_serving};
+use support::{
+    Process, Site, complete, config_objects, debug_state, get_json, wait_for_peers, wait_until,
+    wait_until_serving,
+};
 
 async fn orders(engine: &Process) -> Value {
-    let counters = get(format!("http://{}/counters", engine.address("control"))).await;
+    let counters = get_json(format!("http://{}/counters", engine.address("control"))).await;
     counters["orders"].clone()
 }
 
 async fn holds_lease(instance: &Process) -> bool {
-    dump(instance).await["lease"]["held_here"] == true
+    debug_state(instance).await["lease"]["held_here"] == true
 }
 
 fn model(version: &str) -> Value {
@@ -22,7 +25,7 @@
 }
 
 async fn until_loaded(engine: &Process, version: &str) {
-    until("only the given version is loaded", || async {
+    wait_until("only the given version is loaded", || async {
         orders(engine).await["loaded"] == json!([{"name": "m", "version": version}])
     })
     .await;
@@ -31,17 +34,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn holder_suspended_past_its_lease_older_order_rejected() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instances = [site.instance("i1", "h"), site.instance("i2", "h")];
+    let instances = [
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+    ];
     for instance in &instances {
-        until_peers(instance, 1).await;
+        wait_for_peers(instance, 1).await;
     }
-    until("the engine received an order", || async {
+    wait_until("the engine received an order", || async {
         orders(&engine).await["fence"].as_u64() > Some(0)
     })
     .await;
@@ -49,7 +55,7 @@
     let (holder, successor) = (&instances[holder_index], &instances[1 - holder_index]);
     let old_fence = orders(&engine).await["fence"].as_u64();
     holder.signal(Signal::SIGSTOP);
-    until("the other instance holds the lease", || {
+    wait_until("the other instance holds the lease", || {
         holds_lease(successor)
     })
     .await;
@@ -58,8 +64,8 @@
     let new_fence = orders(&engine).await["fence"].as_u64();
     assert!(new_fence > old_fence, "{new_fence:?} {old_fence:?}");
     holder.signal(Signal::SIGCONT);
-    until("the old holder has learned of its successor", || async {
-        let lease = dump(holder).await["lease"].clone();
+    wait_until("the old holder has learned of its successor", || async {
+        let lease = debug_state(holder).await["lease"].clone();
         lease["held_here"] == false && lease["fence"].as_u64() >= new_fence
     })
     .await;
@@ -85,17 +91,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_version_loaded_without_failed_requests() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     let entry = instance.address("caller");
     // Slow down the weight store, so that the new version takes a while to load.
-    site.platform_faults(&json!({"weight_bytes_per_s": 1000}))
+    site.set_platform_faults(&json!({"weight_bytes_per_s": 1000}))
         .await;
     assert!(site.publish(&json!([model("2")])).status.success());
     let mut responses = 0;
@@ -107,5 +113,5 @@
         );
         responses += 1;
     }
-    until_serving(&instance).await;
+    wait_until_serving(&instance).await;
 }
--- a/tests/promise_tokens.rs
+++ b/tests/promise_tokens.rs
@@ -6,8 +6,8 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use support::{
-    Link, Process, Site, Streamed, complete, get, objects, read_stream, set_faults, streaming,
-    until, until_peers, until_serving,
+    Process, Site, StreamResult, TcpLink, complete, config_objects, get_json, read_stream,
+    set_faults, streamed_completion, wait_for_peers, wait_until, wait_until_serving,
 };
 
 const ALL_TOKENS: usize = usize::MAX;
@@ -22,8 +22,12 @@
 }
 
 /// Reads a stream to its end and checks that it completes.
-async fn read_full_stream(entry: &str, tokens: u32) -> Streamed {
-    let streamed = read_stream(streaming(entry, &long_request(tokens)), ALL_TOKENS).await;
+async fn read_full_stream(entry: &str, tokens: u32) -> StreamResult {
+    let streamed = read_stream(
+        streamed_completion(entry, &long_request(tokens)),
+        ALL_TOKENS,
+    )
+    .await;
     assert_eq!(streamed.end, "done", "{streamed:?}");
     streamed
 }
@@ -38,16 +42,19 @@
 async fn start_cluster(reproducible: bool) -> Cluster {
     let site = Site::new();
     let engines = vec![
-        site.engine("e1", &engine_spec()),
-        site.engine("e2", &engine_spec()),
+        site.start_engine("e1", &engine_spec()),
+        site.start_engine("e2", &engine_spec()),
     ];
-    let mut published = objects("h", &[("e1", &engines[0]), ("e2", &engines[1])], &[]);
+    let mut published = config_objects("h", &[("e1", &engines[0]), ("e2", &engines[1])], &[]);
     published[1]["reproducible"] = json!(reproducible);
     assert!(site.publish(&published).status.success());
-    let entries = vec![site.instance("i1", "h"), site.instance("i2", "h")];
+    let entries = vec![
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+    ];
     for entry in &entries {
-        until_peers(entry, 1).await;
-        until_serving(entry).await;
+        wait_for_peers(entry, 1).await;
+        wait_until_serving(entry).await;
     }
     Cluster {
         site,
@@ -57,7 +64,7 @@
 }
 
 /// Returns the index of the engine that generates a stream, read from its event ids.
-fn engine_of(streamed: &Streamed) -> usize {
+fn engine_of(streamed: &StreamResult) -> usize {
     usize::from(streamed.ids[0].starts_with("e2~"))
 }
 
@@ -70,7 +77,7 @@
     );
     let expected = read_full_stream(&second, 200).await;
     let reader = tokio::spawn(async move {
-        read_stream(streaming(&first, &long_request(200)), ALL_TOKENS).await
+        read_stream(streamed_completion(&first, &long_request(200)), ALL_TOKENS).await
     });
     tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     cluster.entries[0].kill();
@@ -80,7 +87,7 @@
         .ids
         .last()
         .expect("tokens arrived before the kill");
-    let resumed = streaming(&second, &long_request(200)).header("Last-Event-ID", last);
+    let resumed = streamed_completion(&second, &long_request(200)).header("Last-Event-ID", last);
     let second_part = read_stream(resumed, ALL_TOKENS).await;
     assert_eq!(second_part.end, "done", "{second_part:?}");
     let indices: Vec<u32> = [first_part.indices(), second_part.indices()].concat();
@@ -92,12 +99,12 @@
 async fn engine_killed_generation_lost() {
     let mut cluster = start_cluster(false).await;
     let entry = cluster.entries[0].address("caller");
-    let started = read_stream(streaming(&entry, &long_request(2000)), 20).await;
+    let started = read_stream(streamed_completion(&entry, &long_request(2000)), 20).await;
     let engine = engine_of(&started);
     let last = started.ids.last().expect("tokens").clone();
     let reader = tokio::spawn(async move {
         read_stream(
-            streaming(&entry, &long_request(2000)).header("Last-Event-ID", last),
+            streamed_completion(&entry, &long_request(2000)).header("Last-Event-ID", last),
             ALL_TOKENS,
         )
         .await
@@ -121,13 +128,14 @@
     let expected = read_full_stream(&entry, 300).await;
     let target = entry.clone();
     let reader = tokio::spawn(async move {
-        read_stream(streaming(&target, &long_request(300)), ALL_TOKENS).await
+        read_stream(streamed_completion(&target, &long_request(300)), ALL_TOKENS).await
     });
     // Kill the engine that generates the stream, once it has started.
     let mut generating = None;
     for _ in 0..200 {
         for (index, process) in cluster.engines.iter().enumerate() {
-            let counters = get(format!("http://{}/counters", process.address("control"))).await;
+            let counters =
+                get_json(format!("http://{}/counters", process.address("control"))).await;
             if counters["load"]["running"].as_u64() > Some(0) {
                 generating = Some(index);
             }
@@ -173,24 +181,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn link_stalled_and_cut_stream_resumed() {
     let site = Site::new();
-    let engine = site.engine("e1", &engine_spec());
-    let link = Link::to(engine.address("address")).await;
-    let mut published = objects("h", &[("e1", &engine)], &[]);
+    let engine = site.start_engine("e1", &engine_spec());
+    let link = TcpLink::open(engine.address("address")).await;
+    let mut published = config_objects("h", &[("e1", &engine)], &[]);
     published[4]["address"] = json!(link.address);
     assert!(site.publish(&published).status.success());
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     let entry = instance.address("caller");
     let expected = read_full_stream(&entry, 300).await;
     let reader = tokio::spawn(async move {
-        read_stream(streaming(&entry, &long_request(300)), ALL_TOKENS).await
+        read_stream(streamed_completion(&entry, &long_request(300)), ALL_TOKENS).await
     });
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     link.cut();
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
-    link.stall(true);
+    link.set_stalled(true);
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
-    link.stall(false);
+    link.set_stalled(false);
     link.cut();
     let streamed = reader.await.expect("reader");
     assert_eq!(streamed.end, "done", "{:?}", streamed.last);
@@ -203,7 +211,7 @@
     let cluster = start_cluster(false).await;
     let entry = cluster.entries[0].address("caller");
     let reader = tokio::spawn(async move {
-        read_stream(streaming(&entry, &long_request(200)), ALL_TOKENS).await
+        read_stream(streamed_completion(&entry, &long_request(200)), ALL_TOKENS).await
     });
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     for engine in &cluster.engines {
@@ -230,7 +238,7 @@
     assert_eq!(response.outcome(), "unknown");
     // With one engine working again, a repeatable request is routed to it.
     set_faults(&cluster.engines[0], &json!({})).await;
-    until("the working engine answers", || async {
+    wait_until("the working engine answers", || async {
         complete(&entry, &json!({"max_tokens": 5})).await.status == 200
     })
     .await;
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -3,14 +3,14 @@
 mod support;
 
 use serde_json::json;
-use support::{Site, complete, objects, until_serving};
+use support::{Site, complete, config_objects, wait_until_serving};
 
 /// Three groups were asked at most, so that halls without a live endpoint could use up the tries while another had room.
 #[tokio::test(flavor = "multi_thread")]
 async fn placement_dead_halls_used_up_the_tries() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
-    let mut published = objects("live", &[("e1", &engine)], &[]);
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
+    let mut published = config_objects("live", &[("e1", &engine)], &[]);
     for index in 0..8 {
         let hall = format!("dead-{index}");
         let list = published.as_array_mut().expect("list");
@@ -20,8 +20,8 @@
             "type": "engine", "kv_capacity_tokens": 1000, "checks_fence": true}));
     }
     assert!(site.publish(&published).status.success());
-    let instance = site.instance("i1", "dead-0");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "dead-0");
+    wait_until_serving(&instance).await;
     for _ in 0..20 {
         let answered = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
         assert_eq!(answered.status, 200, "{answered:?}");
@@ -34,7 +34,7 @@
 fn start_rocket_line_before_addresses() {
     let site = Site::new();
     let started: Vec<_> = (0..24)
-        .map(|index| site.service(&format!("s{index}")))
+        .map(|index| site.start_service(&format!("s{index}")))
         .collect();
     for process in &started {
         assert!(process.addresses["address"].is_string());
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -14,8 +14,8 @@
 use futures::future::join_all;
 use larkwick::gateway::site_store::{self, Subject};
 use larkwick::standin::site::server::ServerFault;
-use support::proxy::{Link, Proxy};
-use support::site::{RoutedSite, answered, event_numbers, until};
+use support::proxy::{LinkMode, Proxy};
+use support::site::{RoutedSite, event_numbers, send_request, wait_until};
 
 /// Number of connections that are opened at the same time.
 const CONNECTIONS: usize = 8;
@@ -29,7 +29,7 @@
     for read in join_all(concurrent).await {
         read.expect("an answer");
     }
-    proxy.silence_open();
+    proxy.blackhole_open_connections();
     store
         .read_latest(Subject::Configuration)
         .await
@@ -43,21 +43,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_idle_connections_silent_at_most_one_call_lost() {
     let site = RoutedSite::start(0).await;
-    let (_one, one) = site.app_behind_proxy().await;
-    let (_other, other) = site.app_behind_proxy().await;
-    let instance = site.instance("n1").await;
+    let (_one, one) = site.start_app_behind_proxy().await;
+    let (_other, other) = site.start_app_behind_proxy().await;
+    let instance = site.start_instance("n1").await;
     let open_idle_then_silence = async |round: &str| {
         let concurrent = (0..2 * CONNECTIONS).map(|number| {
             let id = format!("{round}{number}");
-            answered(instance.request("/once/1", &id))
+            send_request(instance.request("/once/1", &id))
         });
         for answer in join_all(concurrent).await {
             assert_eq!(answer.status, 200);
         }
         // Connections are reused only after a short idle time.
         tokio::time::sleep(Duration::from_millis(100)).await;
-        one.silence_open();
-        other.silence_open();
+        one.blackhole_open_connections();
+        other.blackhole_open_connections();
     };
     open_idle_then_silence("a").await;
     for number in 0..10 {
@@ -86,22 +86,22 @@
     /// it.
     const FEW_EVENTS: u32 = 4;
     let site = RoutedSite::start(0).await;
-    let (engine, proxy) = site.engine_behind_proxy().await;
-    let instance = site.instance("n1").await;
-    let is_complete = |answer: &support::site::Answered| {
+    let (engine, proxy) = site.start_engine_behind_proxy().await;
+    let instance = site.start_instance("n1").await;
+    let is_complete = |answer: &support::site::HttpResponse| {
         let expected: Vec<u32> = (1..=EVENTS).collect();
-        answer.whole && event_numbers(&answer.body) == expected
+        answer.is_complete && event_numbers(&answer.body) == expected
     };
-    let other = site.engine().await;
+    let other = site.start_engine().await;
     other.set_fault(ServerFault::Refuses);
-    until("both known", async || {
+    wait_until("both known", async || {
         instance.state().await["endpoints"][&other.id].is_object()
     })
     .await;
     // In use: the stream goes silent while the engine keeps generating.
-    let running = tokio::spawn(answered(instance.generation(EVENTS, "used")));
-    until("running", async || engine.running_count() == 1).await;
-    proxy.silence_open();
+    let running = tokio::spawn(send_request(instance.generation(EVENTS, "used")));
+    wait_until("running", async || engine.running_count() == 1).await;
+    proxy.blackhole_open_connections();
     other.set_fault(ServerFault::None);
     let answer = running.await.expect("answered");
     assert!(is_complete(&answer), "{answer:?}");
@@ -111,12 +111,12 @@
         "not restarted"
     );
     // In use, before the first event arrives.
-    proxy.set(Link::OneWay);
+    proxy.set_mode(LinkMode::ResponsesStalled);
     other.set_fault(ServerFault::Refuses);
-    let begun = tokio::spawn(answered(instance.generation(EVENTS, "begun")));
-    until("begun", async || engine.running_count() == 1).await;
-    proxy.silence_open();
-    proxy.set(Link::Sound);
+    let begun = tokio::spawn(send_request(instance.generation(EVENTS, "begun")));
+    wait_until("begun", async || engine.running_count() == 1).await;
+    proxy.blackhole_open_connections();
+    proxy.set_mode(LinkMode::Normal);
     other.set_fault(ServerFault::None);
     let answer = begun.await.expect("answered");
     assert!(is_complete(&answer), "{answer:?}");
@@ -127,28 +127,28 @@
     );
     // In use, and complete before the engine can be asked: the caller gets an error at once rather
     // than at its deadline.
-    proxy.set(Link::OneWay);
+    proxy.set_mode(LinkMode::ResponsesStalled);
     other.set_fault(ServerFault::Refuses);
-    let short = tokio::spawn(answered(instance.generation(FEW_EVENTS, "short")));
-    until("short", async || engine.request_headers("short").is_some()).await;
-    proxy.silence_open();
-    proxy.set(Link::Sound);
+    let short = tokio::spawn(send_request(instance.generation(FEW_EVENTS, "short")));
+    wait_until("short", async || engine.request_headers("short").is_some()).await;
+    proxy.blackhole_open_connections();
+    proxy.set_mode(LinkMode::Normal);
     let short = short.await.expect("answered");
     assert_eq!(short.status, 502, "{short:?}");
     let lacks_end = |line: &serde_json::Value| {
         let why = line["kv"]["why"].as_str().unwrap_or_default();
         line["kv"]["request_id"] == "short" && why.contains("its end did not come")
     };
-    until("the reason", async || {
-        let lines = instance.lines.lock().expect("lines");
+    wait_until("the reason", async || {
+        let lines = instance.log_lines.lock().expect("lines");
         lines.iter().any(lacks_end)
     })
     .await;
     other.set_fault(ServerFault::None);
     // Idle: connections opened earlier are not reused.
-    proxy.silence_open();
+    proxy.blackhole_open_connections();
     let concurrent =
-        (0..4).map(|number| answered(instance.generation(EVENTS, &format!("g{number}"))));
+        (0..4).map(|number| send_request(instance.generation(EVENTS, &format!("g{number}"))));
     for answer in join_all(concurrent).await {
         assert!(is_complete(&answer), "{answer:?}");
     }
--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -10,8 +10,8 @@
 use larkwick::standin::site::store::StoreFault;
 use larkwick::standin::site::{HOST, KEY};
 use nix::sys::signal::Signal;
-use support::proxy::Link;
-use support::site::{Instance, PATIENCE, RoutedSite, answered, until};
+use support::proxy::LinkMode;
+use support::site::{Instance, RoutedSite, WAIT_TIMEOUT, send_request, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Guards against a premature timeout. Fast responses shortened the learned timeout to a few
@@ -20,7 +20,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_slow_response_no_other_endpoint_not_timed_out() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for number in 0..60 {
         let answer = instance.call("/calls/a", &format!("quick-{number}")).await;
         assert_eq!(answer.status, 200, "{answer:?}");
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_through_one_instance_answered_unchanged() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let answer = instance.call("/calls/1", "a1").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "hello"));
     let runs = site.standin.servers_that_ran("a1");
@@ -52,7 +52,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_forged_system_headers_dropped() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let forged_headers = [
         "larkwick-tenant",
         "hold",
@@ -65,7 +65,7 @@
     for name in forged_headers {
         request = request.header(name, "10.0.0.1:1/forged");
     }
-    assert_eq!(answered(request).await.status, 200);
+    assert_eq!(send_request(request).await.status, 200);
     let head = site.apps[0].request_headers("f1").expect("its head");
     assert_eq!(head["larkwick-tenant"], "account-1");
     for name in &forged_headers[1..] {
@@ -76,19 +76,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_invalid_request_rejected_and_not_forwarded() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     assert_eq!(instance.call("/nowhere/1", "b1").await.status, 404);
     let wrong_key = instance
         .request("/calls/1", "b2")
         .header("api-key", "other");
     // Two keys in one request are as invalid as none.
-    assert_eq!(answered(wrong_key).await.status, 400);
+    assert_eq!(send_request(wrong_key).await.status, 400);
     let url = format!("http://{}/calls/1", instance.caller_address());
     let no_key = reqwest::Client::new()
         .post(url)
         .header("host", "site.example");
     let no_key = no_key.header("larkwick-request-id", "b3");
-    assert_eq!(answered(no_key).await.status, 401);
+    assert_eq!(send_request(no_key).await.status, 401);
     for id in ["b1", "b2", "b3"] {
         assert!(site.standin.servers_that_ran(id).is_empty(), "{id}");
     }
@@ -99,7 +99,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_content_length_and_chunked_smuggled_request_not_run() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let mut stream = tokio::net::TcpStream::connect(instance.caller_address())
         .await
         .expect("connected");
@@ -125,7 +125,7 @@
     for app in &site.apps {
         app.set_fault(ServerFault::RunsAndCloses);
     }
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let answer = instance.call("/once/1", "o1").await;
     // Must be neither 429 nor 503: those promise that the request did not run.
     assert_eq!(answer.status, 502);
@@ -137,12 +137,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn call_once_idle_connections_dropped_at_most_one_call_lost() {
     let site = RoutedSite::start(0).await;
-    let (_app, proxy) = site.app_behind_proxy().await;
-    proxy.set(Link::Forgets(Duration::from_millis(250)));
-    let instance = site.instance("n1").await;
+    let (_app, proxy) = site.start_app_behind_proxy().await;
+    proxy.set_mode(LinkMode::DropsIdle(Duration::from_millis(250)));
+    let instance = site.start_instance("n1").await;
     let together = (0..4).map(|number| {
         let id = format!("w{number}");
-        answered(instance.request("/once/1", &id))
+        send_request(instance.request("/once/1", &id))
     });
     for answer in futures::future::join_all(together).await {
         assert_eq!(answer.status, 200);
@@ -164,7 +164,7 @@
 async fn call_once_refused_by_one_server_runs_at_the_other() {
     let site = RoutedSite::start(2).await;
     site.apps[0].set_fault(ServerFault::Refuses);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for number in 0..10 {
         let id = format!("r{number}");
         assert_eq!(instance.call("/once/1", &id).await.status, 200);
@@ -179,7 +179,7 @@
 async fn call_once_refused_by_all_servers_returns_retry_after() {
     let site = RoutedSite::start(1).await;
     site.apps[0].set_fault(ServerFault::Refuses);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let answer = instance.call("/once/1", "n1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some_and(|seconds| seconds > 0.0));
@@ -198,7 +198,7 @@
     for fault in faults {
         let site = RoutedSite::start(2).await;
         site.apps[0].set_fault(fault);
-        let instance = site.instance("n1").await;
+        let instance = site.start_instance("n1").await;
         for number in 0..6 {
             let answer = instance.call("/calls/1", &format!("x{number}")).await;
             assert_eq!(
@@ -214,14 +214,14 @@
 async fn call_mismatched_response_not_forwarded() {
     let site = RoutedSite::start(1).await;
     site.apps[0].set_fault(ServerFault::WrongRequestId);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     assert_eq!(instance.call("/once/1", "c1").await.status, 502);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn call_dead_server_costs_no_retry() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.apps[0].kill();
     for number in 0..20 {
         let answer = instance.call("/once/1", &format!("d{number}")).await;
@@ -232,17 +232,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn config_revoked_key_refused_also_during_an_outage_of_one_instances_store() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     assert_eq!(instance.call("/calls/1", "k1").await.status, 200);
     site.standin.publish(5, &["key-2"]);
-    until("refused", async || {
+    wait_until("refused", async || {
         instance.call("/calls/1", "k2").await.status == 401
     })
     .await;
     // A late publication of an older version has no effect.
     site.standin.publish(4, &[KEY]);
     site.standin.publish(6, &["key-3"]);
-    until("version 6", async || {
+    wait_until("version 6", async || {
         instance.state().await["config_version"] == 6
     })
     .await;
@@ -252,12 +252,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn config_history_compacted_newest_version_read() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for version in 3..8 {
         site.standin.publish(version, &[KEY]);
         site.standin.store.compact("keyed.op");
     }
-    until("version 7", async || {
+    wait_until("version 7", async || {
         instance.state().await["config_version"] == 7
     })
     .await;
@@ -266,11 +266,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn config_unreadable_record_keeps_current_version() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.standin
         .publish_config(&serde_json::json!({"version": "no"}));
-    until("logged", async || {
-        instance.has_line("record not read; what was known stays")
+    wait_until("logged", async || {
+        instance.has_log_line("record not read; what was known stays")
     })
     .await;
     assert_eq!(instance.call("/calls/1", "u1").await.status, 200);
@@ -280,17 +280,17 @@
 async fn store_down_serving_continues_and_catches_up() {
     for mood in [StoreFault::Busy, StoreFault::Unresponsive] {
         let site = RoutedSite::start(1).await;
-        let instance = site.instance("n1").await;
+        let instance = site.start_instance("n1").await;
         site.standin.store.set_fault(mood);
-        until("lost", async || instance.has_line("store lost")).await;
+        wait_until("lost", async || instance.has_log_line("store lost")).await;
         assert_eq!(instance.call("/calls/1", "s1").await.status, 200);
         site.standin.publish(9, &[KEY]);
         site.standin.store.set_fault(StoreFault::None);
-        until("version 9", async || {
+        wait_until("version 9", async || {
             instance.state().await["config_version"] == 9
         })
         .await;
-        until("logged", async || instance.has_line("store regained")).await;
+        wait_until("logged", async || instance.has_log_line("store regained")).await;
     }
 }
 
@@ -298,13 +298,13 @@
 async fn store_down_at_start_call_answered_as_not_run() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let instance = site.instance_not_ready("n1");
+    let instance = site.start_instance_unready("n1");
     let answer = instance.call("/calls/1", "w1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
     assert!(!instance.is_ready().await);
     site.standin.store.set_fault(StoreFault::None);
-    instance.until_ready().await;
+    instance.wait_until_ready().await;
 }
 
 /// Guards against a retry delay that ends during the outage. Callers retry once; with a delay of
@@ -313,16 +313,16 @@
 async fn store_down_at_start_callers_get_long_retry_after() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let instance = site.instance_holding("n1", Duration::from_millis(10));
+    let instance = site.start_instance_with_hold("n1", Duration::from_millis(10));
     // The first calls may arrive before the store has failed.
-    until("long retry-after", async || {
+    wait_until("long retry-after", async || {
         let answer = instance.call("/calls/1", "w2").await;
         assert_eq!(answer.status, 503);
         answer.retry_after.is_some_and(|seconds| seconds >= 2.0)
     })
     .await;
     site.standin.store.set_fault(StoreFault::None);
-    instance.until_ready().await;
+    instance.wait_until_ready().await;
     assert_eq!(instance.call("/calls/1", "w3").await.status, 200);
 }
 
@@ -332,10 +332,10 @@
 async fn store_down_at_start_call_held_until_store_returns() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let instance = site.instance_holding("n1", PATIENCE);
+    let instance = site.start_instance_with_hold("n1", WAIT_TIMEOUT);
     let caller = instance.caller();
-    let answer = tokio::spawn(async move { answered(caller.request("/calls/1", "h1")).await });
-    until("held", async || instance.state().await["calls_held"] == 1).await;
+    let answer = tokio::spawn(async move { send_request(caller.request("/calls/1", "h1")).await });
+    wait_until("held", async || instance.state().await["calls_held"] == 1).await;
     site.standin.store.set_fault(StoreFault::None);
     assert_eq!(answer.await.expect("answered").status, 200);
 }
@@ -344,14 +344,14 @@
 async fn store_down_at_start_held_caller_disconnects_call_not_run() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let instance = site.instance_holding("n1", PATIENCE);
+    let instance = site.start_instance_with_hold("n1", WAIT_TIMEOUT);
     let caller = instance.caller();
-    let leaving = tokio::spawn(async move { answered(caller.request("/once/1", "h3")).await });
-    until("held", async || instance.state().await["calls_held"] == 1).await;
+    let leaving = tokio::spawn(async move { send_request(caller.request("/once/1", "h3")).await });
+    wait_until("held", async || instance.state().await["calls_held"] == 1).await;
     leaving.abort();
-    until("gone", async || instance.state().await["calls_held"] == 0).await;
+    wait_until("gone", async || instance.state().await["calls_held"] == 0).await;
     site.standin.store.set_fault(StoreFault::None);
-    instance.until_ready().await;
+    instance.wait_until_ready().await;
     assert_eq!(instance.call("/once/1", "h4").await.status, 200);
     assert!(site.standin.servers_that_ran("h3").is_empty());
 }
@@ -361,32 +361,35 @@
 async fn store_down_at_start_short_deadline_refused_at_once() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let instance = site.instance_not_ready("n1");
+    let instance = site.start_instance_unready("n1");
     let request =
         reqwest::Client::new().post(format!("http://{}/calls/1", instance.caller_address()));
     let request = request.header("host", HOST).header("api-key", KEY);
     let request = request
         .header("larkwick-request-id", "h2")
         .header("larkwick-deadline-ms", "100");
-    assert_eq!(answered(request).await.status, 503);
+    assert_eq!(send_request(request).await.status, 503);
     assert_eq!(instance.state().await["calls_held_so_far"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_at_start_configuration_read_from_member() {
     let site = RoutedSite::start(1).await;
-    let first = site.instance("n1").await;
-    let second = site.instance("n2").await;
-    until("both named", async || first.named().await.len() == 2).await;
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance("n2").await;
+    wait_until("both named", async || {
+        first.directory_addresses().await.len() == 2
+    })
+    .await;
     site.standin.store.set_fault(StoreFault::Busy);
-    until("lost", async || first.has_line("store lost")).await;
+    wait_until("lost", async || first.has_log_line("store lost")).await;
     let seeds = [&first, &second];
-    let third = site.instance_with_seeds("n3", &seeds);
-    third.until_ready().await;
+    let third = site.start_instance_with_peers("n3", &seeds);
+    third.wait_until_ready().await;
     assert_eq!(third.call("/once/1", "m1").await.status, 200);
     site.standin.publish(8, &[KEY]);
     site.standin.store.set_fault(StoreFault::None);
-    until("version 8", async || {
+    wait_until("version 8", async || {
         third.state().await["config_version"] == 8
     })
     .await;
@@ -396,10 +399,10 @@
 async fn store_response_to_own_entry_lost_instance_serves() {
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::LosesAppendReplies);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     assert_eq!(instance.call("/calls/1", "l1").await.status, 200);
     site.standin.store.set_fault(StoreFault::None);
-    until("written", async || {
+    wait_until("written", async || {
         site.standin.store.keys("keyed.status") == ["n1"]
     })
     .await;
@@ -408,52 +411,58 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn directory_lists_live_members_without_dead_or_draining_ones() {
     let site = RoutedSite::start(1).await;
-    let first = site.instance("n1").await;
-    let mut second = site.instance("n2").await;
-    let third = site.instance("n3").await;
-    until("all named", async || first.named().await.len() == 3).await;
+    let first = site.start_instance("n1").await;
+    let mut second = site.start_instance("n2").await;
+    let third = site.start_instance("n3").await;
+    wait_until("all named", async || {
+        first.directory_addresses().await.len() == 3
+    })
+    .await;
     let leaving = second.caller_address();
     second.signal(Signal::SIGTERM);
-    until("n2 not named", async || {
-        !first.named().await.contains(&leaving)
+    wait_until("n2 not named", async || {
+        !first.directory_addresses().await.contains(&leaving)
     })
     .await;
-    until("n2 ended", async || second.ended_well().is_some()).await;
-    assert_eq!(second.ended_well(), Some(true));
+    wait_until("n2 ended", async || second.exit_success().is_some()).await;
+    assert_eq!(second.exit_success(), Some(true));
     third.signal(Signal::SIGKILL);
-    until("n3 not named", async || first.named().await.len() == 1).await;
+    wait_until("n3 not named", async || {
+        first.directory_addresses().await.len() == 1
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_call_in_flight_answered() {
     let site = RoutedSite::start(1).await;
-    let engine = site.engine().await;
-    let mut instance = site.instance("n1").await;
-    until("engine known", async || {
+    let engine = site.start_engine().await;
+    let mut instance = site.start_instance("n1").await;
+    wait_until("engine known", async || {
         instance.state().await["endpoints"][&engine.id].is_object()
     })
     .await;
-    let generation = tokio::spawn(answered(instance.generation(60, "g1")));
-    until("running", async || engine.running_count() == 1).await;
+    let generation = tokio::spawn(send_request(instance.generation(60, "g1")));
+    wait_until("running", async || engine.running_count() == 1).await;
     instance.signal(Signal::SIGTERM);
     let answer = generation.await.expect("answered");
-    assert!(answer.whole);
-    until("ended", async || instance.ended_well() == Some(true)).await;
-    until("logged", async || instance.has_line("instance stopped")).await;
+    assert!(answer.is_complete);
+    wait_until("ended", async || instance.exit_success() == Some(true)).await;
+    wait_until("logged", async || instance.has_log_line("instance stopped")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_draining_gets_no_new_work() {
     for (number, vanish) in [(0, false), (1, true)] {
         let site = RoutedSite::start(2).await;
-        let instance = site.instance("n1").await;
+        let instance = site.start_instance("n1").await;
         let leaving = &site.apps[number];
         if vanish {
             site.standin.unlist_server(leaving);
         } else {
             site.standin.list_server(leaving, "draining");
         }
-        until("known", async || {
+        wait_until("known", async || {
             let state = instance.state().await;
             state["endpoints"][&leaving.id]["standing"] == "leaving"
         })
@@ -474,19 +483,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_all_unlisted_together_still_used() {
     let site = RoutedSite::start(3).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.standin.store.set_fault(StoreFault::Busy);
-    until("lost", async || instance.has_line("store lost")).await;
+    wait_until("lost", async || instance.has_log_line("store lost")).await;
     for app in &site.apps {
         site.standin.unlist_server(app);
     }
     site.standin.store.set_fault(StoreFault::None);
-    until("regained", async || instance.has_line("store regained")).await;
+    wait_until("regained", async || instance.has_log_line("store regained")).await;
     assert_eq!(instance.call("/once/1", "v1").await.status, 200);
     for app in &site.apps {
         site.standin.list_server(app, "ready");
     }
-    until("listed again", async || {
+    wait_until("listed again", async || {
         let state = instance.state().await;
         let endpoints = state["endpoints"].as_object().expect("endpoints").clone();
         endpoints
@@ -501,26 +510,29 @@
     let site = RoutedSite::start(1).await;
     let mut instances = Vec::new();
     for number in 0..6 {
-        instances.push(site.instance(&format!("n{number}")).await);
+        instances.push(site.start_instance(&format!("n{number}")).await);
     }
     for instance in &instances {
-        until("all named", async || instance.named().await.len() == 6).await;
+        wait_until("all named", async || {
+            instance.directory_addresses().await.len() == 6
+        })
+        .await;
     }
     site.standin.publish(7, &[KEY]);
     for instance in &instances {
-        until("version 7", async || {
+        wait_until("version 7", async || {
             instance.state().await["config_version"] == 7
         })
         .await;
     }
     let reads_through_a_peer = |instance: &Instance| {
-        let lines = instance.lines.lock().expect("lines");
+        let lines = instance.log_lines.lock().expect("lines");
         lines.iter().any(|line| {
             let source = line["kv"]["source"].as_str().unwrap_or_default();
             line["payload"] == "store read through" && source.starts_with("Peer")
         })
     };
-    until("all but two readers read through peers", async || {
+    wait_until("all but two readers read through peers", async || {
         let through_peers = instances.iter().filter(|one| reads_through_a_peer(one));
         through_peers.count() >= 4
     })
@@ -529,7 +541,7 @@
 
 /// Returns the source through which an instance last read a subject.
 fn source_of(instance: &Instance, subject: &str) -> String {
-    let lines = instance.lines.lock().expect("lines");
+    let lines = instance.log_lines.lock().expect("lines");
     let mut used = lines
         .iter()
         .filter(|line| line["payload"] == "store read through" && line["kv"]["subject"] == subject);
@@ -545,13 +557,16 @@
     let site = RoutedSite::start(1).await;
     let mut instances = Vec::new();
     for number in 0..5 {
-        instances.push(site.instance(&format!("n{number}")).await);
+        instances.push(site.start_instance(&format!("n{number}")).await);
     }
     for instance in &instances {
-        until("all named", async || instance.named().await.len() == 5).await;
+        wait_until("all named", async || {
+            instance.directory_addresses().await.len() == 5
+        })
+        .await;
     }
     let reads_itself = |one: &&Instance| source_of(one, "configuration") == "Store";
-    until("two readers", async || {
+    wait_until("two readers", async || {
         instances.iter().filter(reads_itself).count() == 2
     })
     .await;
@@ -562,14 +577,14 @@
     }
     site.standin.publish(12, &["key-2"]);
     for other in others {
-        until("refused", async || {
+        wait_until("refused", async || {
             other.call("/calls/1", "z1").await.status == 401
         })
         .await;
     }
     for reader in &readers {
         reader.signal(Signal::SIGCONT);
-        until("refused", async || {
+        wait_until("refused", async || {
             reader.call("/calls/1", "z2").await.status == 401
         })
         .await;
@@ -579,18 +594,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnects_before_first_event_work_ends() {
     let site = RoutedSite::start(1).await;
-    let engine = site.engine().await;
+    let engine = site.start_engine().await;
     engine.set_fault(ServerFault::RunsAndHangs);
     let plain = site.standin.start_server("app", ServerKind::Plain).await;
     plain.expect("server").set_fault(ServerFault::RunsAndHangs);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let waiting = tokio::spawn(instance.generation(5, "q1").send());
-    until("sent", async || {
+    wait_until("sent", async || {
         !site.standin.servers_that_ran("q1").is_empty()
     })
     .await;
     waiting.abort();
-    until("no call left", async || {
+    wait_until("no call left", async || {
         instance.state().await["calls"] == 0
     })
     .await;
@@ -603,13 +618,13 @@
     let site = RoutedSite::start(1).await;
     let app = &site.apps[0];
     app.set_fault(ServerFault::RunsAndHangs);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let in_flight =
         async || instance.state().await["endpoints"][&app.id]["calls_in_flight"].clone();
     let waiting = tokio::spawn(instance.request("/once/1", "h1").send());
-    until("sent", async || in_flight().await == 1).await;
+    wait_until("sent", async || in_flight().await == 1).await;
     waiting.abort();
-    until("none in flight", async || in_flight().await == 0).await;
+    wait_until("none in flight", async || in_flight().await == 0).await;
 }
 
 /// The configuration survives the encoding in which members pass it to each other.
@@ -637,15 +652,15 @@
     const CALLS_OF_FIRST: usize = 60;
     const CALLS_OF_OTHERS: usize = 20;
     let site = RoutedSite::start(2).await;
-    let mut instances = vec![site.instance("n0").await];
+    let mut instances = vec![site.start_instance("n0").await];
     instances[0].call("/calls/a", "alone").await;
     for number in 1..4 {
-        let instance = site.instance_with_seeds(&format!("n{number}"), &[&instances[0]]);
-        instance.until_ready().await;
+        let instance = site.start_instance_with_peers(&format!("n{number}"), &[&instances[0]]);
+        instance.wait_until_ready().await;
         instances.push(instance);
     }
     for instance in &instances {
-        until("all are known", async || {
+        wait_until("all are known", async || {
             instance.state().await["members"].as_array().map(Vec::len) == Some(3)
         })
         .await;
--- a/tests/site_endpoints.rs
+++ b/tests/site_endpoints.rs
@@ -9,7 +9,7 @@
 use larkwick::standin::site::server::{Server, ServerFault, ServerKind};
 use larkwick::standin::site::store::StoreFault;
 use serde_json::json;
-use support::site::{Instance, RoutedSite, answered, until};
+use support::site::{Instance, RoutedSite, send_request, wait_until};
 
 /// Number of calls that reveal which endpoints are used. With two usable endpoints, the probability
 /// that all calls reach the same one is below one in a billion.
@@ -24,8 +24,8 @@
 }
 
 async fn wait_for_availability(instance: &Instance, server: &Server, expected: &str) {
-    until(expected, async || {
-        instance.standing(server).await == expected
+    wait_until(expected, async || {
+        instance.endpoint_availability(server).await == expected
     })
     .await;
 }
@@ -46,7 +46,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_gets_no_calls_until_restored() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.standin.evacuate_hall("hall-1");
     wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
@@ -59,7 +59,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_record_unreadable_still_evacuates_it() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let store = &site.standin.store;
     store.put_raw("keyed.op", "evacuate/hall-1", b"\xff{");
     wait_for_availability(&instance, &first, "evacuated").await;
@@ -70,7 +70,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_all_halls_calls_refused_immediately() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.standin.evacuate_hall("hall-1");
     site.standin.evacuate_hall("hall-2");
     wait_for_availability(&instance, &first, "evacuated").await;
@@ -84,13 +84,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_known_after_start_during_store_outage() {
     let (site, first, second) = two_halls().await;
-    let known = site.instance("n1").await;
+    let known = site.start_instance("n1").await;
     site.standin.evacuate_hall("hall-1");
     wait_for_availability(&known, &first, "evacuated").await;
     site.standin.store.set_fault(StoreFault::Busy);
-    let started = site.instance_with_seeds("n2", &[&known]);
-    started.until_ready().await;
-    assert_eq!(started.standing(&first).await, "evacuated");
+    let started = site.start_instance_with_peers("n2", &[&known]);
+    started.wait_until_ready().await;
+    assert_eq!(started.endpoint_availability(&first).await, "evacuated");
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &started, "started").await, only);
 }
@@ -105,13 +105,13 @@
         site.standin.list_server_with(&app, &fields);
     };
     list("ready", 1_000);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     list("draining", 1_000);
     wait_for_availability(&instance, &app, "leaving").await;
     // Draining is final within an incarnation.
     list("ready", 1_000);
     list("ready", 2_000);
-    until("calls served again", async || {
+    wait_until("calls served again", async || {
         instance.call("/once/a", "a").await.status == 200
     })
     .await;
@@ -137,7 +137,7 @@
         json!({"cold-left-ms": []}),
     ];
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for fields in malformed {
         let server = site
             .standin
@@ -158,7 +158,7 @@
         expected
     );
     // An instance that reads the full list treats the entries in the same way.
-    let second = site.instance("n2").await;
+    let second = site.start_instance("n2").await;
     wait_for_availability(&second, &last, "ready").await;
     assert_eq!(called_endpoints(&site, &second, "whole").await, expected);
 }
@@ -166,22 +166,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operator_key_unknown_logged_once() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for _ in 0..3 {
         site.standin
             .store
             .put("keyed.op", "something/new", &json!({}));
     }
-    until("unknown key logged", async || {
-        instance.has_line("unknown on the platform")
+    wait_until("unknown key logged", async || {
+        instance.has_log_line("unknown on the platform")
     })
     .await;
     site.standin.publish(9, &[larkwick::standin::site::KEY]);
-    until("later record read", async || {
+    wait_until("later record read", async || {
         instance.state().await["config_version"] == 9
     })
     .await;
-    let lines = instance.lines.lock().expect("lines").clone();
+    let lines = instance.log_lines.lock().expect("lines").clone();
     let unknown = lines.iter().filter(|line| {
         line["payload"] == "unknown on the platform" && line["kv"]["name"] == "something/new"
     });
@@ -203,11 +203,11 @@
     let cold = cold.expect("server starts");
     site.standin
         .list_server_with(&cold, &json!({"cold-left-ms": 60_000}));
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let started_at = std::time::Instant::now();
     let calls = (0..50).map(|number| {
         let request = instance.request("/once/a", &format!("cold-{number}"));
-        tokio::spawn(answered(request))
+        tokio::spawn(send_request(request))
     });
     let calls: Vec<_> = calls.collect();
     let mut served = 0_u32;
@@ -233,17 +233,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_replaced_at_its_address_called_at_most_once() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
+    let engine = site.start_engine().await;
     let replaced = site
         .standin
         .start_unlisted_server("llm", larkwick::standin::site::server::ServerKind::Engine);
     let replaced = replaced.await.expect("server starts");
     replaced.set_fault(ServerFault::Misdirects);
     site.standin.list_server(&replaced, "ready");
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     wait_for_availability(&instance, &replaced, "ready").await;
     for number in 0..8 {
-        let answer = answered(instance.generation(2, &format!("g{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("g{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
--- a/tests/site_generations.rs
+++ b/tests/site_generations.rs
@@ -6,11 +6,11 @@
 use larkwick::standin::site::server::{Server, ServerFault};
 use larkwick::standin::site::{HOST, KEY};
 use nix::sys::signal::Signal;
-use support::site::{Answered, RoutedSite, answered, event_numbers, until};
+use support::site::{HttpResponse, RoutedSite, event_numbers, send_request, wait_until};
 
-fn assert_complete(answer: &Answered, events: u32) {
+fn assert_complete(answer: &HttpResponse, events: u32) {
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
     let expected: Vec<u32> = (1..=events).collect();
     assert_eq!(event_numbers(&answer.body), expected);
 }
@@ -18,9 +18,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_delivers_each_event_once_in_order() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
-    let instance = site.instance("n1").await;
-    let answer = answered(instance.generation(20, "g1")).await;
+    let engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
+    let answer = send_request(instance.generation(20, "g1")).await;
     assert_complete(&answer, 20);
     assert_eq!(site.standin.servers_that_ran("g1"), [engine.id.as_str()]);
 }
@@ -29,14 +29,16 @@
 async fn generation_engine_leaves_moved_without_second_run() {
     for vanish in [false, true] {
         let site = RoutedSite::start(0).await;
-        let leaving = site.engine().await;
-        let instance = site.instance("n1").await;
+        let leaving = site.start_engine().await;
+        let instance = site.start_instance("n1").await;
         let running: Vec<_> = (0..3)
-            .map(|number| tokio::spawn(answered(instance.generation(80, &format!("m{number}")))))
+            .map(|number| {
+                tokio::spawn(send_request(instance.generation(80, &format!("m{number}"))))
+            })
             .collect();
-        until("generations running", async || leaving.running_count() == 3).await;
-        let staying = site.engine().await;
-        until("both engines known", async || {
+        wait_until("generations running", async || leaving.running_count() == 3).await;
+        let staying = site.start_engine().await;
+        wait_until("both engines known", async || {
             instance.state().await["endpoints"][&staying.id].is_object()
         })
         .await;
@@ -45,7 +47,7 @@
         } else {
             site.standin.list_server(&leaving, "draining");
         }
-        until("generations moved", async || staying.running_count() == 3).await;
+        wait_until("generations moved", async || staying.running_count() == 3).await;
         leaving.kill();
         for (number, generation) in running.into_iter().enumerate() {
             let answer = generation.await.expect("response received");
@@ -59,13 +61,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_target_without_capacity_continues_at_source() {
     let site = RoutedSite::start(0).await;
-    let leaving = site.engine().await;
-    let instance = site.instance("n1").await;
-    let running = tokio::spawn(answered(instance.generation(40, "t1")));
-    until("generations running", async || leaving.running_count() == 1).await;
-    let full = site.engine().await;
+    let leaving = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
+    let running = tokio::spawn(send_request(instance.generation(40, "t1")));
+    wait_until("generations running", async || leaving.running_count() == 1).await;
+    let full = site.start_engine().await;
     full.set_fault(ServerFault::RefusesCopies);
-    until("both engines known", async || {
+    wait_until("both engines known", async || {
         instance.state().await["endpoints"][&full.id].is_object()
     })
     .await;
@@ -78,13 +80,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_target_refuses_resume_falls_back_to_source() {
     let site = RoutedSite::start(0).await;
-    let leaving = site.engine().await;
-    let instance = site.instance("n1").await;
-    let running = tokio::spawn(answered(instance.generation(24, "t2")));
-    until("generations running", async || leaving.running_count() == 1).await;
-    let without_copy = site.engine().await;
+    let leaving = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
+    let running = tokio::spawn(send_request(instance.generation(24, "t2")));
+    wait_until("generations running", async || leaving.running_count() == 1).await;
+    let without_copy = site.start_engine().await;
     without_copy.set_fault(ServerFault::DropsCopies);
-    until("both engines known", async || {
+    wait_until("both engines known", async || {
         instance.state().await["endpoints"][&without_copy.id].is_object()
     })
     .await;
@@ -96,26 +98,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_engine_killed_response_incomplete() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
-    let instance = site.instance("n1").await;
-    let running = tokio::spawn(answered(instance.generation(400, "d1")));
-    until("generations running", async || engine.running_count() == 1).await;
+    let engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
+    let running = tokio::spawn(send_request(instance.generation(400, "d1")));
+    wait_until("generations running", async || engine.running_count() == 1).await;
     engine.kill();
     let answer = running.await.expect("response received");
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(site.standin.servers_that_ran("d1").len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_dead_engine_tries_another_engine() {
     let site = RoutedSite::start(0).await;
-    let dead = site.engine().await;
-    let healthy = site.engine().await;
-    let instance = site.instance("n1").await;
+    let dead = site.start_engine().await;
+    let healthy = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
     dead.kill();
     for number in 0..8 {
         let id = format!("p{number}");
-        assert_complete(&answered(instance.generation(2, &id)).await, 2);
+        assert_complete(&send_request(instance.generation(2, &id)).await, 2);
         assert_eq!(site.standin.servers_that_ran(&id), [healthy.id.as_str()]);
     }
 }
@@ -123,10 +125,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_all_engines_refuse_not_run_with_retry_after() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
+    let engine = site.start_engine().await;
     engine.set_fault(ServerFault::Refuses);
-    let instance = site.instance("n1").await;
-    let answer = answered(instance.generation(5, "r1")).await;
+    let instance = site.start_instance("n1").await;
+    let answer = send_request(instance.generation(5, "r1")).await;
     assert_eq!(answer.status, 503);
     // The caller has 20 s left and retries only once: after one second the engines would still be
     // full.
@@ -138,15 +140,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_refused_short_deadline_limits_retry_after() {
     let site = RoutedSite::start(0).await;
-    site.engine().await.set_fault(ServerFault::Refuses);
-    let instance = site.instance("n1").await;
+    site.start_engine().await.set_fault(ServerFault::Refuses);
+    let instance = site.start_instance("n1").await;
     let request =
         reqwest::Client::new().post(format!("http://{}/chat/5", instance.caller_address()));
     let request = request.header("host", HOST).header("api-key", KEY);
     let request = request
         .header("larkwick-request-id", "r2")
         .header("larkwick-deadline-ms", "6000");
-    let answer = answered(request.header("larkwick-token-count", "1000,20")).await;
+    let answer = send_request(request.header("larkwick-token-count", "1000,20")).await;
     assert_eq!(answer.status, 503);
     assert!(
         answer.retry_after.is_some_and(|seconds| seconds <= 2.0),
@@ -157,8 +159,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_caller_disconnects_engine_stops() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
-    let instance = site.instance("n1").await;
+    let engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
     let mut answer = instance
         .generation(4000, "l1")
         .send()
@@ -166,7 +168,7 @@
         .expect("generation started");
     answer.chunk().await.expect("an event received");
     drop(answer);
-    until("generation ended at the engine", async || {
+    wait_until("generation ended at the engine", async || {
         engine.running_count() == 0
     })
     .await;
@@ -177,24 +179,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_during_shutdown_accepted_only_if_it_can_finish() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
-    let mut instance = site.instance("n1").await;
+    let engine = site.start_engine().await;
+    let mut instance = site.start_instance("n1").await;
     // Keeps the process running after the signal.
-    let running = tokio::spawn(answered(instance.generation(120, "s0")));
-    until("generations running", async || engine.running_count() == 1).await;
+    let running = tokio::spawn(send_request(instance.generation(120, "s0")));
+    wait_until("generations running", async || engine.running_count() == 1).await;
     instance.signal(Signal::SIGTERM);
-    until("shutdown announced", async || {
-        instance.has_line("instance stopping")
+    wait_until("shutdown announced", async || {
+        instance.has_log_line("instance stopping")
     })
     .await;
-    let long = answered(instance.generation(600, "s1")).await;
+    let long = send_request(instance.generation(600, "s1")).await;
     assert_eq!(long.status, 503);
     assert!(long.retry_after.is_some());
     assert!(site.standin.servers_that_ran("s1").is_empty());
-    assert_complete(&answered(instance.generation(4, "s2")).await, 4);
+    assert_complete(&send_request(instance.generation(4, "s2")).await, 4);
     assert_complete(&running.await.expect("response received"), 120);
-    until("process exited", async || {
-        instance.ended_well() == Some(true)
+    wait_until("process exited", async || {
+        instance.exit_success() == Some(true)
     })
     .await;
 }
@@ -202,32 +204,32 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn owner_killed_generations_still_moved_and_placed() {
     let site = RoutedSite::start(0).await;
-    let leaving = site.engine().await;
+    let leaving = site.start_engine().await;
     let mut instances = Vec::new();
     for number in 0..3 {
-        instances.push(site.instance(&format!("n{number}")).await);
+        instances.push(site.start_instance(&format!("n{number}")).await);
     }
     for instance in &instances {
-        until("all instances named", async || {
-            instance.named().await.len() == 3
+        wait_until("all instances named", async || {
+            instance.directory_addresses().await.len() == 3
         })
         .await;
     }
     // Any of the instances may own the engines; the one that serves the generation survives.
     let server = instances.remove(0);
-    let running = tokio::spawn(answered(server.generation(240, "k1")));
-    until("generations running", async || leaving.running_count() == 1).await;
+    let running = tokio::spawn(send_request(server.generation(240, "k1")));
+    wait_until("generations running", async || leaving.running_count() == 1).await;
     for other in &instances {
         other.signal(Signal::SIGKILL);
     }
-    let staying = site.engine().await;
-    until("engine known", async || {
+    let staying = site.start_engine().await;
+    wait_until("engine known", async || {
         server.state().await["endpoints"][&staying.id].is_object()
     })
     .await;
     site.standin.list_server(&leaving, "draining");
     assert_complete(&running.await.expect("response received"), 240);
-    assert_complete(&answered(server.generation(3, "k2")).await, 3);
+    assert_complete(&send_request(server.generation(3, "k2")).await, 3);
     assert_eq!(site.standin.servers_that_ran("k2"), [staying.id.as_str()]);
 }
 
@@ -236,24 +238,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn resumable_caller_reconnects_receives_remaining_events() {
     let site = RoutedSite::start(0).await;
-    let _engine = site.engine().await;
-    let instance = site.instance("n1").await;
+    let _engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
     let request = instance.request("/check/9", "c1");
     let request = request.header("larkwick-model", "m");
     let request = request.header("larkwick-token-count", "1000,36");
-    let answer = answered(request.header("last-event-id", "4")).await;
-    assert!(answer.whole, "{answer:?}");
+    let answer = send_request(request.header("last-event-id", "4")).await;
+    assert!(answer.is_complete, "{answer:?}");
     assert_eq!(event_numbers(&answer.body), [5, 6, 7, 8, 9]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn resumable_engine_killed_restarts_at_another_engine() {
     let site = RoutedSite::start(0).await;
-    let engines = [site.engine().await, site.engine().await];
-    let instance = site.instance("n1").await;
-    let running = tokio::spawn(answered(instance.caller().check(60, "c2")));
+    let engines = [site.start_engine().await, site.start_engine().await];
+    let instance = site.start_instance("n1").await;
+    let running = tokio::spawn(send_request(
+        instance.caller().resumable_generation(60, "c2"),
+    ));
     let runs_generation = |engine: &Server| engine.running_count() == 1;
-    until("generations running", async || {
+    wait_until("generations running", async || {
         engines.iter().any(|one| runs_generation(one))
     })
     .await;
@@ -273,10 +277,12 @@
 async fn resumable_engines_close_after_run_no_third_run() {
     let site = RoutedSite::start(0).await;
     for _ in 0..4 {
-        site.engine().await.set_fault(ServerFault::RunsAndCloses);
+        site.start_engine()
+            .await
+            .set_fault(ServerFault::RunsAndCloses);
     }
-    let instance = site.instance("n1").await;
-    let answer = answered(instance.caller().check(5, "c3")).await;
+    let instance = site.start_instance("n1").await;
+    let answer = send_request(instance.caller().resumable_generation(5, "c3")).await;
     assert!(answer.status >= 500 && answer.status != 503, "{answer:?}");
     assert_eq!(site.standin.servers_that_ran("c3").len(), 2);
 }
@@ -285,10 +291,12 @@
 async fn generation_engine_closes_after_run_not_reported_as_not_run() {
     let site = RoutedSite::start(0).await;
     for _ in 0..2 {
-        site.engine().await.set_fault(ServerFault::RunsAndCloses);
+        site.start_engine()
+            .await
+            .set_fault(ServerFault::RunsAndCloses);
     }
-    let instance = site.instance("n1").await;
-    let answer = answered(instance.generation(5, "c4")).await;
+    let instance = site.start_instance("n1").await;
+    let answer = send_request(instance.generation(5, "c4")).await;
     assert_eq!(answer.status, 502);
     assert_eq!(site.standin.servers_that_ran("c4").len(), 1);
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -19,9 +19,9 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
-use support::proxy::{Link, Proxy};
-use support::site::{Caller, Instance, RoutedSite, event_numbers, until};
-use support::suspension::Suspendable;
+use support::proxy::{LinkMode, Proxy};
+use support::site::{Caller, Instance, RoutedSite, event_numbers, wait_until};
+use support::suspension::SuspendableInstance;
 
 /// Seeds that failed once, each with its cause. 31026: the late words of all plain endpoints' former lives stayed the newest ones, so that an instance that
 /// started after them knew of none; the endpoints write their entries again now.
@@ -45,7 +45,7 @@
     /// Nothing where the connection broke before an answer.
     status: Option<u16>,
     body: String,
-    whole: bool,
+    is_complete: bool,
     /// The instance that was called; empty where nobody asks.
     instance: String,
     sent_at: Instant,
@@ -71,7 +71,7 @@
 
 struct Soak {
     /// The instance whose machine is suspended now and then.
-    suspendable: Suspendable,
+    suspendable: SuspendableInstance,
     crashing_tries: AtomicU32,
     site: RoutedSite,
     /// Before the store.
@@ -92,9 +92,9 @@
     async fn start() -> Arc<Self> {
         let mut site = RoutedSite::start(3).await;
         let proxy = Arc::new(Proxy::start(site.standin.store_address()).await);
-        site.store_through(proxy.address);
+        site.set_store_address(proxy.address);
         site.standin.crash_servers_on(CRASHING);
-        let suspendable = Suspendable::start(&site, "suspended").await;
+        let suspendable = SuspendableInstance::start(&site, "suspended").await;
         let soak = Self {
             suspendable,
             crashing_tries: AtomicU32::new(0),
@@ -174,7 +174,7 @@
     async fn check_crashing(&self) {
         let before = self.site.standin.crashed_servers().len();
         for caller in self.callers() {
-            until("the crashing request refused", async || {
+            wait_until("the crashing request refused", async || {
                 self.call_crashing(&caller).await == Some(503)
             })
             .await;
@@ -194,7 +194,7 @@
     }
 
     async fn add_engine(&self) {
-        let (engine, proxy) = self.site.engine_behind_proxy().await;
+        let (engine, proxy) = self.site.start_engine_behind_proxy().await;
         self.engines.lock().push((engine, Arc::new(proxy)));
     }
 
@@ -205,7 +205,7 @@
             peers.iter().map(|peer| peer.address.to_string()).collect()
         };
         let name = format!("n{number}");
-        let (instance, peer) = self.site.instance_behind_proxy(&name, &seeds).await;
+        let (instance, peer) = self.site.start_instance_behind_proxy(&name, &seeds).await;
         self.peers.lock().push(Arc::new(peer));
         self.instances.lock().push(instance);
     }
@@ -217,12 +217,12 @@
 
     /// All connections that are open go silent for good: those to the store, to engines and between instances.
     fn silence_all(&self) {
-        self.proxy.silence_open();
+        self.proxy.blackhole_open_connections();
         let engines = self.engines.lock();
         let peers = self.peers.lock();
         let engines = engines.iter().map(|(_, proxy)| proxy);
         for proxy in engines.chain(peers.iter()) {
-            proxy.silence_open();
+            proxy.blackhole_open_connections();
         }
     }
 
@@ -250,7 +250,7 @@
                 let instances = self.instances.lock();
                 if let Some(instance) = instances.choose(random) {
                     instance.signal(Signal::SIGSTOP);
-                    let thaw = instance.thaw_handle();
+                    let thaw = instance.resume_handle();
                     tokio::spawn(async move {
                         tokio::time::sleep(lasts).await;
                         thaw();
@@ -278,9 +278,9 @@
                     instance.signal(Signal::SIGHUP);
                 }
             }
-            15 => self.proxy.silence_open(),
-            16 => self.engine_proxy(random).silence_open(),
-            17 => self.peer_proxy(random).silence_open(),
+            15 => self.proxy.blackhole_open_connections(),
+            16 => self.engine_proxy(random).blackhole_open_connections(),
+            17 => self.peer_proxy(random).blackhole_open_connections(),
             18 => self.silence_all(),
             19 => link_for(&self.peer_proxy(random), a_link(random), lasts),
             20 => self.peer_proxy(random).reset(),
@@ -567,7 +567,11 @@
             return;
         }
         let Some(events) = seen.events else {
-            assert!(!seen.whole || seen.body == "hello", "{id}: {:?}", seen.body);
+            assert!(
+                !seen.is_complete || seen.body == "hello",
+                "{id}: {:?}",
+                seen.body
+            );
             return;
         };
         let numbers = event_numbers(&seen.body);
@@ -575,7 +579,7 @@
         let expected: Vec<u32> = (1..=count).collect();
         assert_eq!(numbers, expected, "{id}: an event is missing or came twice");
         assert!(
-            !seen.whole || count == events,
+            !seen.is_complete || count == events,
             "{id}: whole after {count} of {events}"
         );
     }
@@ -585,7 +589,7 @@
         let callers = self.callers();
         let version = self.version.load(Ordering::Relaxed);
         for caller in &callers {
-            until(
+            wait_until(
                 "the last configuration in force, and nothing in flight",
                 async || {
                     let state = caller.state().await;
@@ -595,7 +599,7 @@
                 },
             )
             .await;
-            until("calls answered", async || {
+            wait_until("calls answered", async || {
                 let seen = ask(caller.request("/once/1", "after"), String::new(), None).await;
                 seen.status == Some(200)
             })
@@ -604,21 +608,21 @@
     }
 }
 
-fn a_link(random: &mut StdRng) -> Link {
+fn a_link(random: &mut StdRng) -> LinkMode {
     let links = [
-        Link::Slow(Duration::from_millis(80)),
-        Link::Silent,
-        Link::OneWay,
+        LinkMode::Delayed(Duration::from_millis(80)),
+        LinkMode::Stalled,
+        LinkMode::ResponsesStalled,
     ];
     *links.choose(random).expect("links")
 }
 
-fn link_for(proxy: &Arc<Proxy>, link: Link, lasts: Duration) {
-    proxy.set(link);
+fn link_for(proxy: &Arc<Proxy>, link: LinkMode, lasts: Duration) {
+    proxy.set_mode(link);
     let proxy = proxy.clone();
     tokio::spawn(async move {
         tokio::time::sleep(lasts).await;
-        proxy.set(Link::Sound);
+        proxy.set_mode(LinkMode::Normal);
     });
 }
 
@@ -629,7 +633,7 @@
 
 async fn end_by_itself(mut instance: Instance) {
     const LOOK_EVERY: Duration = Duration::from_millis(50);
-    while instance.ended_well().is_none() {
+    while instance.exit_success().is_none() {
         tokio::time::sleep(LOOK_EVERY).await;
     }
 }
@@ -640,7 +644,7 @@
         events,
         status: None,
         body: String::new(),
-        whole: false,
+        is_complete: false,
         instance: String::new(),
         sent_at: Instant::now(),
         ended_at: Instant::now(),
@@ -650,7 +654,7 @@
     };
     seen.status = Some(answer.status().as_u16());
     let mut body = Vec::new();
-    seen.whole = loop {
+    seen.is_complete = loop {
         match answer.chunk().await {
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => break true,
@@ -683,7 +687,7 @@
     }
     let served = all
         .iter()
-        .filter(|seen| seen.status == Some(200) && seen.whole);
+        .filter(|seen| seen.status == Some(200) && seen.is_complete);
     println!(
         "soak seed {seed}: {} of {} served",
         served.count(),
@@ -697,7 +701,7 @@
     soak.check_recovery().await;
     soak.check_crashing().await;
     replacing.abort();
-    soak.suspendable.end().await;
+    soak.suspendable.abort().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/store_copies.rs
+++ b/tests/store_copies.rs
@@ -6,7 +6,7 @@
 use larkwick::standin::site::server::ServerKind;
 use larkwick::standin::site::{KEY, SiteStandin};
 use serde_json::json;
-use support::site::{RoutedSite, until};
+use support::site::{RoutedSite, wait_until};
 
 /// A reader that continued from its old offset would receive other records there and miss the new
 /// records at lower offsets.
@@ -19,9 +19,9 @@
         .start_server("app", ServerKind::Plain)
         .await
         .unwrap();
-    let instance = site.instance("n1").await;
-    until("endpoint listed", async || {
-        instance.standing(&lost).await == "ready"
+    let instance = site.start_instance("n1").await;
+    wait_until("endpoint listed", async || {
+        instance.endpoint_availability(&lost).await == "ready"
     })
     .await;
     let new = site
@@ -35,8 +35,8 @@
     let _ = site.standin.store.restore(copy);
     site.standin.list_server(&lost, "ready");
     for server in [&new, &lost] {
-        until("endpoint listed after the restore", async || {
-            instance.standing(server).await == "ready"
+        wait_until("endpoint listed after the restore", async || {
+            instance.endpoint_availability(server).await == "ready"
         })
         .await;
     }
@@ -54,14 +54,14 @@
     for version in 3..9 {
         site.standin.publish(version, &[KEY]);
     }
-    let first = site.instance("n1").await;
-    let second = site.instance_with_seeds("n2", &[&first]);
-    second.until_ready().await;
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance_with_peers("n2", &[&first]);
+    second.wait_until_ready().await;
     let _ = site.standin.store.restore(copy);
     site.standin.evacuate_hall("hall-9");
     for instance in [&first, &second] {
-        until("hall evacuated", async || {
-            instance.standing(app).await == "evacuated"
+        wait_until("hall evacuated", async || {
+            instance.endpoint_availability(app).await == "evacuated"
         })
         .await;
     }
@@ -76,34 +76,34 @@
     site.standin
         .list_server_with(app, &json!({"zone": "hall-9"}));
     let copy = site.standin.store.snapshot();
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     site.standin.evacuate_hall("hall-9");
     site.standin.publish(3, &["another-key"]);
-    until("hall evacuated", async || {
-        instance.standing(app).await == "evacuated"
+    wait_until("hall evacuated", async || {
+        instance.endpoint_availability(app).await == "evacuated"
     })
     .await;
-    until("key revoked", async || {
+    wait_until("key revoked", async || {
         instance.call("/once/a", "revoked").await.status == 401
     })
     .await;
     let before = site.standin.store.restore(copy);
-    until("restore logged", async || {
-        instance.has_line("store came back from an older copy")
+    wait_until("restore logged", async || {
+        instance.has_log_line("store came back from an older copy")
     })
     .await;
     for number in 0..20 {
-        assert_eq!(instance.standing(app).await, "evacuated");
+        assert_eq!(instance.endpoint_availability(app).await, "evacuated");
         let answer = instance.call("/once/a", &format!("still-{number}")).await;
         assert_eq!(answer.status, 401, "{answer:?}");
     }
     site.standin.store.replay_lost_writes(&before);
     site.standin.publish(4, &[KEY]);
-    until("next configuration in force", async || {
+    wait_until("next configuration in force", async || {
         instance.call("/once/a", "next").await.status == 200
     })
     .await;
-    assert_eq!(instance.standing(app).await, "evacuated");
+    assert_eq!(instance.endpoint_availability(app).await, "evacuated");
 }
 
 /// An instance rewrites its own entry if the restored copy lacks it.
@@ -111,16 +111,16 @@
 async fn restored_copy_lacks_own_entry_entry_rewritten() {
     let site = RoutedSite::start(1).await;
     let copy = site.standin.store.snapshot();
-    let _instance = site.instance("n1").await;
+    let _instance = site.start_instance("n1").await;
     let is_announced = || {
         site.standin
             .store
             .keys("keyed.status")
             .contains(&"n1".to_owned())
     };
-    until("entry written", async || is_announced()).await;
+    wait_until("entry written", async || is_announced()).await;
     let _ = site.standin.store.restore(copy);
-    until("entry written again", async || is_announced()).await;
+    wait_until("entry written again", async || is_announced()).await;
 }
 
 /// An invalid era is ignored: the last valid one stays, and new records are still read.
@@ -131,13 +131,13 @@
     for _ in 0..2 {
         store.restore(store.snapshot());
     }
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let mut version = 2;
     for text in ["18446744073709551615", "-1", "soon", "", "2.5"] {
         store.override_era(Some(text));
         version += 1;
         site.standin.publish(version, &[KEY]);
-        until("configuration in force", async || {
+        wait_until("configuration in force", async || {
             instance.state().await["config_version"] == version
         })
         .await;
@@ -150,7 +150,7 @@
     store.override_era(None);
     let before = store.restore(store.snapshot());
     store.replay_lost_writes(&before);
-    until("next era", async || {
+    wait_until("next era", async || {
         instance.state().await["store_era"] == 3
     })
     .await;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the real binaries on free ports and talks to them.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Starts the project's binaries on free ports and sends requests to them.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod proxy;
 pub mod site;
@@ -15,21 +15,21 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Longest wait for anything. Far above what is usual, so that a busy machine does not change a verdict.
-const PATIENCE: Duration = Duration::from_mins(1);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Timeout of all waits; far above the usual times, so that tests do not fail on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that is killed when it is dropped.
+/// A child process that is killed when dropped.
 pub struct Process {
     child: Child,
-    /// What it logged.
+    /// File that receives its log.
     pub log: tempfile::NamedTempFile,
-    /// What it printed about its addresses.
+    /// Its addresses, as printed in the first line of its output.
     pub addresses: Value,
 }
 
 impl Process {
-    /// Starts a binary and reads its first line.
+    /// Starts a binary and reads the first line of its output.
     pub fn start(binary: &str, args: &[&str]) -> Self {
         let log = tempfile::NamedTempFile::new().expect("log file");
         let stderr = log.reopen().expect("log file");
@@ -56,7 +56,7 @@
         }
     }
 
-    /// One of its addresses.
+    /// Returns one of its addresses by name.
     pub fn address(&self, name: &str) -> String {
         self.addresses[name].as_str().expect("address").to_owned()
     }
@@ -67,14 +67,14 @@
         kill(pid, signal).expect("signal");
     }
 
-    /// Kills it at once.
+    /// Kills it and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it has ended by itself, and well.
-    pub fn ended_well(&mut self) -> Option<bool> {
+    /// Returns whether it exited successfully; `None` while it runs.
+    pub fn exit_success(&mut self) -> Option<bool> {
         let status = self.child.try_wait().expect("wait");
         status.map(|status| status.success())
     }
@@ -89,23 +89,24 @@
 pub const DAEMON: &str = env!("CARGO_BIN_EXE_larkwickd");
 pub const TOOL: &str = env!("CARGO_BIN_EXE_larkwick");
 pub const STANDIN: &str = env!("CARGO_BIN_EXE_larkwick-standin");
-const ANY: &str = "127.0.0.1:0";
+/// Loopback address with a free port.
+const ANY_ADDRESS: &str = "127.0.0.1:0";
 pub const KEY: &str = "test-key";
 
-/// A site under test.
+/// A platform under test, with the settings of the instances that use it.
 pub struct Site {
     pub dir: TempDir,
     pub platform: Process,
-    /// Times that replace the defaults in every instance's settings.
+    /// Times in the settings of all instances that replace the defaults.
     pub times: Value,
-    /// Threads of each instance; as many as cores where null.
+    /// Number of worker threads of each instance; null selects one per core.
     pub worker_threads: Value,
-    /// Limits that replace the defaults.
+    /// Limits in the settings of all instances that replace the defaults.
     pub limits: Value,
 }
 
-/// Short times, so that tests need not wait; none of them decides a verdict.
-fn quick_times() -> Value {
+/// Returns short times, so that tests run quickly; no assertion depends on them.
+fn short_times() -> Value {
     json!({
         "entries_valid_ms": 500, "config_poll_ms": 100, "heartbeat_ms": 100, "list_poll_ms": 200,
         "load_poll_ms": 100, "stall_ms": 1000, "resume_patience_ms": 1500, "drain_streams_ms": 1000,
@@ -116,18 +117,27 @@
 impl Site {
     /// Starts a platform.
     pub fn new() -> Self {
-        let platform = Process::start(STANDIN, &["platform", "--address", ANY, "--control", ANY]);
+        let platform = Process::start(
+            STANDIN,
+            &[
+                "platform",
+                "--address",
+                ANY_ADDRESS,
+                "--control",
+                ANY_ADDRESS,
+            ],
+        );
         Self {
             dir: tempfile::tempdir().expect("temporary directory"),
             platform,
-            times: quick_times(),
+            times: short_times(),
             worker_threads: json!(2),
             limits: json!({}),
         }
     }
 
-    /// Starts an engine that holds the model `m` at version 1.
-    pub fn engine(&self, name: &str, spec: &Value) -> Process {
+    /// Starts an engine with the model `m` at version 1 loaded.
+    pub fn start_engine(&self, name: &str, spec: &Value) -> Process {
         let platform = self.platform.address("address");
         let spec = spec.to_string();
         let args = [
@@ -135,9 +145,9 @@
             "--name",
             name,
             "--address",
-            ANY,
+            ANY_ADDRESS,
             "--control",
-            ANY,
+            ANY_ADDRESS,
             "--platform",
             &platform,
             "--spec",
@@ -149,16 +159,16 @@
     }
 
     /// Starts a plain service.
-    pub fn service(&self, name: &str) -> Process {
+    pub fn start_service(&self, name: &str) -> Process {
         let platform = self.platform.address("address");
         let args = [
             "service",
             "--name",
             name,
             "--address",
-            ANY,
+            ANY_ADDRESS,
             "--control",
-            ANY,
+            ANY_ADDRESS,
             "--platform",
             &platform,
         ];
@@ -166,19 +176,19 @@
     }
 
     /// Starts an instance on free ports.
-    pub fn instance(&self, name: &str, hall: &str) -> Process {
-        self.instance_at(name, hall, &json!({}), &self.platform.address("address"))
+    pub fn start_instance(&self, name: &str, hall: &str) -> Process {
+        self.start_instance_at(name, hall, &json!({}), &self.platform.address("address"))
     }
 
-    /// Starts an instance; `addresses` fixes those that are not to be free ones.
-    pub fn instance_at(
+    /// Starts an instance; addresses that `addresses` does not set get free ports.
+    pub fn start_instance_at(
         &self,
         name: &str,
         hall: &str,
         addresses: &Value,
         platform: &str,
     ) -> Process {
-        let address = |key: &str| addresses[key].as_str().unwrap_or(ANY).to_owned();
+        let address = |key: &str| addresses[key].as_str().unwrap_or(ANY_ADDRESS).to_owned();
         let settings = json!({
             "instance": name, "hall": hall,
             "caller_address": address("caller"),
@@ -193,11 +203,11 @@
         Process::start(DAEMON, &["--settings", path.to_str().expect("path")])
     }
 
-    /// Publishes objects with the tool.
+    /// Publishes configuration objects with the command-line tool.
     pub fn publish(&self, objects: &Value) -> Output {
-        let path = self.write("objects.jsonc", &json!({ "objects": objects }).to_string());
+        let path = self.write_file("objects.jsonc", &json!({ "objects": objects }).to_string());
         let platform = self.platform.address("address");
-        tool(&[
+        run_tool(&[
             "publish",
             "--platform",
             &platform,
@@ -205,25 +215,25 @@
         ])
     }
 
-    /// Writes a file.
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+    /// Writes a file to the temporary directory and returns its path.
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.path().join(name);
         std::fs::write(&path, text).expect("file");
         path
     }
 
-    /// Sets the platform's faults.
-    pub async fn platform_faults(&self, faults: &Value) {
+    /// Sets the faults of the platform.
+    pub async fn set_platform_faults(&self, faults: &Value) {
         set_faults(&self.platform, faults).await;
     }
 }
 
-/// Runs the tool.
-pub fn tool(args: &[&str]) -> Output {
+/// Runs the command-line tool and returns its output.
+pub fn run_tool(args: &[&str]) -> Output {
     Command::new(TOOL).args(args).output().expect("tool runs")
 }
 
-/// Sets a stand-in's faults.
+/// Sets the faults of a stand-in.
 pub async fn set_faults(standin: &Process, faults: &Value) {
     let url = format!("http://{}/faults", standin.address("control"));
     let response = reqwest::Client::new().put(url).json(faults).send().await;
@@ -231,52 +241,60 @@
     assert!(status.is_success(), "faults refused: {status}");
 }
 
-/// Reads JSON.
-pub async fn get(url: String) -> Value {
+/// Fetches JSON from a URL.
+pub async fn get_json(url: String) -> Value {
     let response = reqwest::get(url).await.expect("answer");
     response.json().await.expect("JSON")
 }
 
-/// The state of an instance.
-pub async fn dump(instance: &Process) -> Value {
-    get(format!(
+/// Fetches the state dump of an instance.
+pub async fn debug_state(instance: &Process) -> Value {
+    get_json(format!(
         "http://{}/debug/state",
         instance.address("operator")
     ))
     .await
 }
 
-/// Waits until something holds.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
-    let give_up = tokio::time::Instant::now() + PATIENCE;
+/// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until<F: Future<Output = bool>>(description: &str, mut holds: impl FnMut() -> F) {
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(
-            tokio::time::Instant::now() < give_up,
-            "waited in vain until {what}"
+            tokio::time::Instant::now() < deadline,
+            "timed out waiting until {description}"
         );
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until an instance sees this many live peers or more.
-pub async fn until_peers(instance: &Process, peers: u64) {
-    until("the peers are live", || async {
-        dump(instance).await["status"]["members_live"].as_u64() >= Some(peers)
+/// Waits until an instance sees at least this many live peers.
+pub async fn wait_for_peers(instance: &Process, peers: u64) {
+    wait_until("the peers are live", || async {
+        debug_state(instance).await["status"]["members_live"].as_u64() >= Some(peers)
     })
     .await;
 }
 
-/// Waits until an instance has a report of every one of these endpoints, itself or its groups' owner, by asking for answers.
-pub async fn until_serving(instance: &Process) {
-    until("the instance serves", || async {
-        let asked = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
-        asked.status == 200
+/// Waits until an instance serves a completion.
+///
+/// Then it, or the owner of the endpoint's group, has a load report of an engine.
+pub async fn wait_until_serving(instance: &Process) {
+    wait_until("the instance serves", || async {
+        let response = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
+        response.status == 200
     })
     .await;
 }
 
-/// Objects of one hall: engines and services at their addresses, a model, an account, a rule.
-pub fn objects(hall: &str, engines: &[(&str, &Process)], services: &[(&str, &Process)]) -> Value {
+/// Returns the configuration objects of one hall.
+///
+/// They are a model, a client account, a rule, and the engines and services with their addresses.
+pub fn config_objects(
+    hall: &str,
+    engines: &[(&str, &Process)],
+    services: &[(&str, &Process)],
+) -> Value {
     let mut objects = vec![
         json!({"kind": "hall", "name": hall, "region": "test"}),
         json!({"kind": "model", "name": "m", "version": "1", "weights_bytes": 1000, "max_output_tokens": 100_000,
@@ -295,30 +313,30 @@
     json!(objects)
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub struct Answered {
+pub struct HttpResponse {
     pub status: u16,
     pub retry_after: Option<String>,
     pub body: Value,
 }
 
-impl Answered {
-    /// Outcome of an error.
+impl HttpResponse {
+    /// Returns the outcome of an error response; empty for others.
     pub fn outcome(&self) -> &str {
         self.body["error"]["outcome"].as_str().unwrap_or("")
     }
 
-    /// Kind of an error.
+    /// Returns the kind of an error response; empty for others.
     pub fn kind(&self) -> &str {
         self.body["error"]["kind"].as_str().unwrap_or("")
     }
 }
 
-/// Sends a request and reads its whole answer. A connection that breaks has status 0.
-pub async fn send(request: reqwest::RequestBuilder) -> Answered {
+/// Sends a request and reads the complete response; the status is 0 if the connection fails.
+pub async fn send_request(request: reqwest::RequestBuilder) -> HttpResponse {
     let Ok(response) = request.send().await else {
-        return broken();
+        return connection_failure();
     };
     let status = response.status().as_u16();
     let header = response.headers().get("retry-after");
@@ -326,24 +344,24 @@
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     let Ok(text) = response.text().await else {
-        return broken();
+        return connection_failure();
     };
-    Answered {
+    HttpResponse {
         status,
         retry_after,
         body: serde_json::from_str(&text).unwrap_or(Value::String(text)),
     }
 }
 
-fn broken() -> Answered {
-    Answered {
+fn connection_failure() -> HttpResponse {
+    HttpResponse {
         status: 0,
         retry_after: None,
         body: Value::Null,
     }
 }
 
-/// A completion request; `fields` are added to the body.
+/// Returns a completion request; `fields` are added to the body.
 pub fn completion(entry: &str, fields: &Value) -> reqwest::RequestBuilder {
     let mut body = json!({"model": "m", "prompt": "hello"});
     for (name, value) in fields.as_object().expect("fields") {
@@ -355,142 +373,156 @@
         .json(&body)
 }
 
-/// Asks for a whole completion.
-pub async fn complete(entry: &str, fields: &Value) -> Answered {
-    send(completion(entry, fields)).await
+/// Requests a completion that is not streamed.
+pub async fn complete(entry: &str, fields: &Value) -> HttpResponse {
+    send_request(completion(entry, fields)).await
 }
 
-/// A call of the service `fees`; the text is counted by the stand-in.
-pub fn call(entry: &str, text: &str) -> reqwest::RequestBuilder {
+/// Returns a call of the service `fees`; the stand-in counts its runs by `text`.
+pub fn service_call(entry: &str, text: &str) -> reqwest::RequestBuilder {
     reqwest::Client::new()
         .post(format!("http://{entry}/v1/services/fees/lookup"))
         .bearer_auth(KEY)
         .body(text.to_owned())
 }
 
-/// A call that must run at most once.
-pub fn call_once(entry: &str, ticket: &str, key: &str, text: &str) -> reqwest::RequestBuilder {
-    call(entry, text)
+/// Returns a call of the service `fees` that must run at most once.
+pub fn non_repeatable_call(
+    entry: &str,
+    ticket: &str,
+    key: &str,
+    text: &str,
+) -> reqwest::RequestBuilder {
+    service_call(entry, text)
         .header("Larkwick-Repeatable", "false")
         .header("Larkwick-Ticket", ticket)
         .header("Idempotency-Key", key)
 }
 
-/// How often the service ran a text.
-pub async fn runs(service: &Process, text: &str) -> u64 {
-    let runs = get(format!("http://{}/runs", service.address("control"))).await;
+/// Returns how often a service ran the call with this text.
+pub async fn run_count(service: &Process, text: &str) -> u64 {
+    let runs = get_json(format!("http://{}/runs", service.address("control"))).await;
     runs[text].as_u64().unwrap_or(0)
 }
 
-/// The ticket that an entry gives out for an instance.
-pub async fn ticket(entry: &str, instance: &str) -> String {
-    let answer = get(format!("http://{entry}/v1/entries")).await;
-    let entries = answer["entries"].as_array().expect("entries").clone();
-    let named = entries.iter().find(|one| one["instance"] == instance);
-    named.expect("instance is named")["ticket"]
+/// Fetches the ticket that an entry issues for an instance.
+pub async fn fetch_ticket(entry: &str, instance: &str) -> String {
+    let response = get_json(format!("http://{entry}/v1/entries")).await;
+    let entries = response["entries"].as_array().expect("entries").clone();
+    let listed = entries
+        .iter()
+        .find(|candidate| candidate["instance"] == instance);
+    listed.expect("instance is listed")["ticket"]
         .as_str()
         .expect("ticket")
         .to_owned()
 }
 
-/// What a stream gave.
+/// Events received from a stream.
 #[derive(Debug, Default, Clone)]
-pub struct Streamed {
+pub struct StreamResult {
     pub text: String,
     pub ids: Vec<String>,
-    /// `done`, `moved`, `error`, or `cut` where the connection ended without a last event.
+    /// `done`, `moved`, `error`, or `cut` if the connection ended without a final event.
     pub end: String,
-    /// Data of the last event.
+    /// Data of the final event.
     pub last: Value,
 }
 
-impl Streamed {
-    /// Indices of the tokens, in the order in which they came.
+impl StreamResult {
+    /// Returns the token indices in the order received.
     pub fn indices(&self) -> Vec<u32> {
         let index = |id: &String| id.rsplit(':').next()?.parse().ok();
         self.ids.iter().filter_map(index).collect()
     }
 }
 
-/// Reads one stream, at most `tokens_max` tokens of it.
-pub async fn read_stream(request: reqwest::RequestBuilder, tokens_max: usize) -> Streamed {
-    let mut streamed = Streamed {
+/// Reads one stream, up to `tokens_max` tokens.
+pub async fn read_stream(request: reqwest::RequestBuilder, tokens_max: usize) -> StreamResult {
+    let mut result = StreamResult {
         end: "cut".to_owned(),
-        ..Streamed::default()
+        ..StreamResult::default()
     };
     let Ok(mut response) = request.send().await else {
-        return streamed;
+        return result;
     };
     if !response.status().is_success() {
-        "error".clone_into(&mut streamed.end);
-        streamed.last = response.json().await.unwrap_or_default();
-        return streamed;
+        "error".clone_into(&mut result.end);
+        result.last = response.json().await.unwrap_or_default();
+        return result;
     }
     let mut pending = String::new();
     while let Ok(Some(bytes)) = response.chunk().await {
         pending.push_str(&String::from_utf8_lossy(&bytes));
         while let Some(end) = pending.find("\n\n") {
             let event: String = pending.drain(..end + 2).collect();
-            take_event(&mut streamed, &event);
-            if streamed.end != "cut" || streamed.ids.len() >= tokens_max {
-                return streamed;
+            record_event(&mut result, &event);
+            if result.end != "cut" || result.ids.len() >= tokens_max {
+                return result;
             }
         }
     }
-    streamed
+    result
 }
 
-fn take_event(streamed: &mut Streamed, event: &str) {
+fn record_event(result: &mut StreamResult, event: &str) {
     let field = |name: &str| {
         let line = event.lines().find_map(|line| line.strip_prefix(name));
         line.map(|value| value.trim().to_owned())
     };
     let Some(data) = field("data:") else { return };
     if data == "[DONE]" {
-        "done".clone_into(&mut streamed.end);
+        "done".clone_into(&mut result.end);
         return;
     }
     let value: Value = serde_json::from_str(&data).expect("event data is JSON");
     if let Some(kind) = field("event:") {
-        streamed.end = kind;
-        streamed.last = value;
+        result.end = kind;
+        result.last = value;
         return;
     }
     if let Some(id) = field("id:") {
-        streamed.ids.push(id);
-        streamed.text += value["choices"][0]["text"].as_str().unwrap_or("");
+        result.ids.push(id);
+        result.text += value["choices"][0]["text"].as_str().unwrap_or("");
     }
 }
 
-/// A streamed completion request.
-pub fn streaming(entry: &str, fields: &Value) -> reqwest::RequestBuilder {
+/// Returns a request for a streamed completion.
+pub fn streamed_completion(entry: &str, fields: &Value) -> reqwest::RequestBuilder {
     let mut fields = fields.clone();
     fields["stream"] = json!(true);
     completion(entry, &fields)
 }
 
-/// A link between processes that a test can stall or cut.
-pub struct Link {
-    /// Where to connect instead of the target.
+/// A TCP proxy between processes whose connections a test can stall or cut.
+pub struct TcpLink {
+    /// Address to connect to instead of the target.
     pub address: String,
     stalled: tokio::sync::watch::Sender<bool>,
     cut: tokio::sync::watch::Sender<u32>,
 }
 
-impl Link {
-    /// Opens a link to an address.
-    pub async fn to(target: String) -> Self {
-        let listener = tokio::net::TcpListener::bind(ANY).await.expect("port");
+impl TcpLink {
+    /// Opens a proxy to an address.
+    pub async fn open(target: String) -> Self {
+        let listener = tokio::net::TcpListener::bind(ANY_ADDRESS)
+            .await
+            .expect("port");
         let address = listener.local_addr().expect("address").to_string();
         let stalled = tokio::sync::watch::Sender::new(false);
         let cut = tokio::sync::watch::Sender::new(0);
         let (stalls, cuts) = (stalled.subscribe(), cut.subscribe());
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let Ok(far) = tokio::net::TcpStream::connect(&target).await else {
+            while let Ok((client, _)) = listener.accept().await {
+                let Ok(server) = tokio::net::TcpStream::connect(&target).await else {
                     continue;
                 };
-                tokio::spawn(carry(near, far, stalls.clone(), cuts.clone()));
+                tokio::spawn(forward_connection(
+                    client,
+                    server,
+                    stalls.clone(),
+                    cuts.clone(),
+                ));
             }
         });
         Self {
@@ -500,34 +532,34 @@
         }
     }
 
-    /// Holds everything back, or lets it go on.
-    pub fn stall(&self, stalled: bool) {
+    /// Stalls all connections, or lets them continue.
+    pub fn set_stalled(&self, stalled: bool) {
         let _ = self.stalled.send(stalled);
     }
 
-    /// Breaks every connection that is open.
+    /// Closes all open connections.
     pub fn cut(&self) {
         self.cut.send_modify(|cuts| *cuts += 1);
     }
 }
 
-async fn carry(
-    near: tokio::net::TcpStream,
-    far: tokio::net::TcpStream,
+async fn forward_connection(
+    client: tokio::net::TcpStream,
+    server: tokio::net::TcpStream,
     stalls: tokio::sync::watch::Receiver<bool>,
     mut cuts: tokio::sync::watch::Receiver<u32>,
 ) {
     cuts.mark_unchanged();
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::select! {
-        () = pump(near_read, far_write, stalls.clone()) => {}
-        () = pump(far_read, near_write, stalls) => {}
+        () = copy_bytes(client_read, server_write, stalls.clone()) => {}
+        () = copy_bytes(server_read, client_write, stalls) => {}
         _ = cuts.changed() => {}
     }
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     mut stalls: tokio::sync::watch::Receiver<bool>,
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, silenced, cut one way or reset.
+//! Loopback TCP proxy that can delay, stall or reset connections.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,36 +11,38 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What happens to the bytes that pass.
+/// How the proxy treats the bytes that it forwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Link {
-    /// They pass.
-    Sound,
-    /// They pass later.
-    Slow(Duration),
-    /// They are held in both directions until the link is sound again.
-    Silent,
-    /// Those towards the caller are held.
-    OneWay,
-    /// A connection that rested for so long is closed when the caller uses it again, and nothing passes.
-    Forgets(Duration),
+pub enum LinkMode {
+    /// Forwards them at once.
+    Normal,
+    /// Forwards them after a delay.
+    Delayed(Duration),
+    /// Holds them in both directions until the mode changes.
+    Stalled,
+    /// Holds those towards the caller until the mode changes.
+    ResponsesStalled,
+    /// Closes a connection when the caller uses it again after more than this idle time.
+    ///
+    /// The bytes are discarded.
+    DropsIdle(Duration),
 }
 
 /// A proxy to one address.
 pub struct Proxy {
     pub address: SocketAddr,
     target: Arc<OnceLock<SocketAddr>>,
-    link: watch::Sender<Link>,
-    /// Connections that were opened before this one are silent for good.
-    silent_before: watch::Sender<u64>,
-    opened: Arc<AtomicU64>,
-    connections: Arc<Mutex<Vec<tokio::task::AbortHandle>>>,
-    accepting: tokio::task::JoinHandle<()>,
+    mode: watch::Sender<LinkMode>,
+    /// Connections with a lower number forward nothing any more, and stay open.
+    blackholed_before: watch::Sender<u64>,
+    opened_count: Arc<AtomicU64>,
+    connection_tasks: Arc<Mutex<Vec<tokio::task::AbortHandle>>>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.reset();
     }
 }
@@ -48,27 +50,27 @@
 impl Proxy {
     /// Starts a proxy on a free port.
     pub async fn start(target: SocketAddr) -> Self {
-        let proxy = Self::unaimed().await;
-        proxy.aim(target);
+        let proxy = Self::without_target().await;
+        proxy.set_target(target);
         proxy
     }
 
-    /// Starts a proxy whose target is not known yet: what connects to it until then is cut.
-    pub async fn unaimed() -> Self {
+    /// Starts a proxy without a target; connections are closed until [`Proxy::set_target`].
+    pub async fn without_target() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let link = watch::Sender::new(Link::Sound);
-        let connections: Arc<Mutex<Vec<tokio::task::AbortHandle>>> = Arc::default();
-        let (links, open) = (link.clone(), connections.clone());
-        let silent_before = watch::Sender::new(0);
-        let silences = silent_before.clone();
-        let opened: Arc<AtomicU64> = Arc::default();
-        let numbers = opened.clone();
+        let mode = watch::Sender::new(LinkMode::Normal);
+        let connection_tasks: Arc<Mutex<Vec<tokio::task::AbortHandle>>> = Arc::default();
+        let (modes, open) = (mode.clone(), connection_tasks.clone());
+        let blackholed_before = watch::Sender::new(0);
+        let blackholes = blackholed_before.clone();
+        let opened_count: Arc<AtomicU64> = Arc::default();
+        let numbers = opened_count.clone();
         let target: Arc<OnceLock<SocketAddr>> = Arc::default();
-        let aimed = target.clone();
-        let accepting = tokio::spawn(async move {
+        let current_target = target.clone();
+        let accept_task = tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                let Some(target) = aimed.get() else {
+                let Some(target) = current_target.get() else {
                     continue;
                 };
                 let Ok(server) = TcpStream::connect(target).await else {
@@ -77,84 +79,92 @@
                 let (from_caller, to_caller) = caller.into_split();
                 let (from_server, to_server) = server.into_split();
                 let number = numbers.fetch_add(1, Ordering::SeqCst);
-                let mut silences = silences.subscribe();
-                let there = pass(from_caller, to_server, links.subscribe(), false);
-                let back = pass(from_server, to_caller, links.subscribe(), true);
-                let both = async move {
-                    let goes_silent = async {
-                        let _ = silences.wait_for(|before| number < *before).await;
+                let mut blackholes = blackholes.subscribe();
+                let requests = forward(from_caller, to_server, modes.subscribe(), false);
+                let responses = forward(from_server, to_caller, modes.subscribe(), true);
+                let connection = async move {
+                    let blackholed = async {
+                        let _ = blackholes.wait_for(|before| number < *before).await;
                     };
-                    tokio::pin!(there, back);
-                    // Where one direction ends, the connection ends: HTTP does without half-closed ones.
+                    tokio::pin!(requests, responses);
+                    // The connection ends with either direction: HTTP does not need half-closed
+                    // ones.
                     tokio::select! {
-                        // First, so that what is held when it goes silent never passes.
+                        // Polled first, so that bytes held at this point are never forwarded.
                         biased;
-                        // Nothing is read any more, and both ends stay open.
-                        () = goes_silent => std::future::pending().await,
-                        () = &mut there => {}
-                        () = &mut back => {}
+                        // Reads nothing more and keeps both sockets open.
+                        () = blackholed => std::future::pending().await,
+                        () = &mut requests => {}
+                        () = &mut responses => {}
                     }
                 };
-                open.lock().push(tokio::spawn(both).abort_handle());
+                open.lock().push(tokio::spawn(connection).abort_handle());
             }
         });
         Self {
             address,
             target,
-            link,
-            silent_before,
-            opened,
-            connections,
-            accepting,
+            mode,
+            blackholed_before,
+            opened_count,
+            connection_tasks,
+            accept_task,
         }
     }
 
-    /// Sets the target, once.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Sets the target; further calls have no effect.
+    pub fn set_target(&self, target: SocketAddr) {
         self.target.get_or_init(|| target);
     }
 
-    /// Changes what happens to the bytes from now on.
-    pub fn set(&self, link: Link) {
-        self.link.send_replace(link);
+    /// Sets how bytes are treated from now on.
+    pub fn set_mode(&self, mode: LinkMode) {
+        self.mode.send_replace(mode);
     }
 
-    /// The connections that are open now go silent for good, without being closed; those opened from now on are sound.
-    pub fn silence_open(&self) {
-        let opened = self.opened.load(Ordering::SeqCst);
-        self.silent_before.send_replace(opened);
+    /// Stops forwarding on all connections that are open now, for good, without closing them.
+    ///
+    /// Connections opened later are not affected.
+    pub fn blackhole_open_connections(&self) {
+        let opened_count = self.opened_count.load(Ordering::SeqCst);
+        self.blackholed_before.send_replace(opened_count);
     }
 
     /// Closes all connections.
     pub fn reset(&self) {
-        for connection in self.connections.lock().drain(..) {
+        for connection in self.connection_tasks.lock().drain(..) {
             connection.abort();
         }
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut link: watch::Receiver<Link>,
+    mut mode: watch::Receiver<LinkMode>,
     towards_caller: bool,
 ) {
     let mut buffer = vec![0; 16 << 10];
-    let mut used_at = None;
+    let mut last_used_at = None;
     while let Ok(read) = from.read(&mut buffer).await {
         if read == 0 {
             break;
         }
-        let rested = used_at.replace(Instant::now());
-        if let (Some(rested), Link::Forgets(after)) = (rested, *link.borrow())
+        let previous_use = last_used_at.replace(Instant::now());
+        if let (Some(previous_use), LinkMode::DropsIdle(idle_max)) = (previous_use, *mode.borrow())
             && !towards_caller
-            && rested.elapsed() > after
+            && previous_use.elapsed() > idle_max
         {
             break;
         }
-        let held = |link: &Link| *link == Link::Silent || (towards_caller && *link == Link::OneWay);
-        let passing = link.wait_for(|link| !held(link)).await.map(|link| *link);
-        if let Ok(Link::Slow(delay)) = passing {
+        let is_stalled = |mode: &LinkMode| {
+            *mode == LinkMode::Stalled || (towards_caller && *mode == LinkMode::ResponsesStalled)
+        };
+        let current = mode
+            .wait_for(|mode| !is_stalled(mode))
+            .await
+            .map(|mode| *mode);
+        if let Ok(LinkMode::Delayed(delay)) = current {
             tokio::time::sleep(delay).await;
         }
         if to.write_all(&buffer[..read]).await.is_err() {
--- a/tests/support/suspension.rs
+++ b/tests/support/suspension.rs
@@ -1,5 +1,7 @@
-//! An instance in this process whose clock a test puts forward, as a suspension of its machine does: the clock has gone on, and timers have not. No
-//! process is suspended: that takes rights that tests do not have.
+//! An in-process instance with a simulated suspension of its machine.
+//!
+//! The test advances the instance's clock, and timers do not advance with it, as in a real
+//! suspension. No process is suspended, because tests lack the privileges for that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,22 +12,24 @@
 use parking_lot::Mutex;
 use serde_json::json;
 
-use super::site::{Caller, RoutedSite, until};
+use super::site::{Caller, RoutedSite, wait_until};
 
-/// The system's clock, and the time for which the machine was suspended.
+/// The system clock, advanced by the total time of simulated suspensions.
 #[derive(Default)]
-pub struct SuspendedClock {
+pub struct SuspendableClock {
     system: SystemClock,
+    /// Total time of simulated suspensions.
     suspended: Mutex<Duration>,
 }
 
-impl SuspendedClock {
-    pub fn suspend(&self, by: Duration) {
-        *self.suspended.lock() += by;
+impl SuspendableClock {
+    /// Simulates a suspension of this length.
+    pub fn suspend(&self, duration: Duration) {
+        *self.suspended.lock() += duration;
     }
 }
 
-impl Clock for SuspendedClock {
+impl Clock for SuspendableClock {
     fn now(&self) -> Duration {
         self.system.now() + self.suspended()
     }
@@ -39,31 +43,31 @@
     }
 }
 
-/// An instance with such a clock.
-pub struct Suspendable {
-    /// Absent once it was ended.
+/// An instance whose suspension can be simulated.
+pub struct SuspendableInstance {
+    /// `None` after [`SuspendableInstance::abort`].
     app: Mutex<Option<GatewayApp>>,
     caller: Caller,
-    pub clock: Arc<SuspendedClock>,
+    pub clock: Arc<SuspendableClock>,
 }
 
-impl Suspendable {
-    /// Starts one and waits until it takes callers.
+impl SuspendableInstance {
+    /// Starts an instance and waits until it is ready.
     pub async fn start(site: &RoutedSite, name: &str) -> Self {
-        let any = "127.0.0.1:0";
+        let any_address = "127.0.0.1:0";
         let settings = json!({
-            "instance": name, "hall": "hall-1", "caller_address": any, "operator_address": any, "peer_address": any,
+            "instance": name, "hall": "hall-1", "caller_address": any_address, "operator_address": any_address, "peer_address": any_address,
             "times": {"heartbeat_ms": 100},
             "routing": {
-                "ready_address": any, "directory_address": any, "store_address": site.store_seen(),
+                "ready_address": any_address, "directory_address": any_address, "store_address": site.store_address_for_instances(),
                 "processor_cores": 0.25, "directory_valid_ms": 500, "stop_within_s": 8, "retry_share": 0.2, "retry_slack": 60, "retry_window_s": 0.0,
             },
         });
         let settings: Settings = serde_json::from_value(settings).expect("settings");
-        let clock = Arc::new(SuspendedClock::default());
+        let clock = Arc::new(SuspendableClock::default());
         let app = GatewayApp::start_by_clock(settings, None, clock.clone()).await;
         let app = app.expect("instance starts");
-        until("ready", async || app.is_ready()).await;
+        wait_until("ready", async || app.is_ready()).await;
         let caller = Caller::new(app.caller_address(), app.operator_address());
         Self {
             app: Mutex::new(Some(app)),
@@ -76,8 +80,8 @@
         self.caller.clone()
     }
 
-    /// Ends it at once; its tasks would else run on in this process.
-    pub async fn end(&self) {
+    /// Aborts the instance; otherwise its tasks would continue in this process.
+    pub async fn abort(&self) {
         let app = self.app.lock().take();
         if let Some(app) = app {
             app.abort().await;
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -9,8 +9,8 @@
 use larkwick::standin::site::server::ServerFault;
 use reqwest::RequestBuilder;
 use serde_json::json;
-use support::site::{RoutedSite, answered, until};
-use support::suspension::Suspendable;
+use support::site::{RoutedSite, send_request, wait_until};
+use support::suspension::SuspendableInstance;
 
 /// Far longer than these tests wait, so that a response arrives only if the instance checked its
 /// clock.
@@ -18,9 +18,11 @@
 /// Duration of the suspension; longer than any caller waits.
 const SUSPENSION: Duration = Duration::from_mins(15);
 
-fn request(instance: &Suspendable, path: &str, id: &str) -> RequestBuilder {
+fn request(instance: &SuspendableInstance, path: &str, id: &str) -> RequestBuilder {
     let timeout_ms = CALL_TIMEOUT.as_millis().to_string();
-    let request = instance.caller().request_within(path, id, &timeout_ms);
+    let request = instance
+        .caller()
+        .request_with_deadline(path, id, &timeout_ms);
     request
         .header("larkwick-model", "m")
         .header("larkwick-token-count", "1000,8")
@@ -43,11 +45,11 @@
 async fn call_suspended_past_deadline_times_out() {
     let site = site_with_long_timeouts(1).await;
     site.apps[0].set_fault(ServerFault::RunsAndHangs);
-    let instance = Suspendable::start(&site, "n1").await;
-    let calling = tokio::spawn(answered(request(&instance, "/once/1", "c1")));
-    until("sent", async || site.apps[0].request_count() == 1).await;
+    let instance = SuspendableInstance::start(&site, "n1").await;
+    let calling = tokio::spawn(send_request(request(&instance, "/once/1", "c1")));
+    wait_until("sent", async || site.apps[0].request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
-    until("answered", async || calling.is_finished()).await;
+    wait_until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
     assert_eq!(answer.status, 504, "{answer:?}");
 }
@@ -55,13 +57,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_suspended_past_deadline_times_out() {
     let site = site_with_long_timeouts(0).await;
-    let engine = site.engine().await;
+    let engine = site.start_engine().await;
     engine.set_fault(ServerFault::RunsAndHangs);
-    let instance = Suspendable::start(&site, "n1").await;
-    let calling = tokio::spawn(answered(request(&instance, "/chat/2", "g1")));
-    until("sent", async || engine.request_count() == 1).await;
+    let instance = SuspendableInstance::start(&site, "n1").await;
+    let calling = tokio::spawn(send_request(request(&instance, "/chat/2", "g1")));
+    wait_until("sent", async || engine.request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
-    until("answered", async || calling.is_finished()).await;
+    wait_until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
     assert_eq!(answer.status, 504, "{answer:?}");
 }
@@ -70,12 +72,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_suspended_while_queued_not_sent() {
     let site = site_with_long_timeouts(0).await;
-    let instance = Suspendable::start(&site, "n1").await;
-    let calling = tokio::spawn(answered(request(&instance, "/chat/2", "g2")));
+    let instance = SuspendableInstance::start(&site, "n1").await;
+    let calling = tokio::spawn(send_request(request(&instance, "/chat/2", "g2")));
     tokio::time::sleep(Duration::from_millis(200)).await;
     instance.clock.suspend(SUSPENSION);
-    let engine = site.engine().await;
-    until("answered", async || calling.is_finished()).await;
+    let engine = site.start_engine().await;
+    wait_until("answered", async || calling.is_finished()).await;
     let answer = calling.await.expect("answered");
     assert_eq!(answer.status, 503, "{answer:?}");
     assert_eq!(engine.request_count(), 0);
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -5,8 +5,8 @@
 
 use serde_json::{Value, json};
 use support::{
-    KEY, Site, complete, dump, get, objects, read_stream, send, streaming, tool, until,
-    until_peers, until_serving,
+    KEY, Site, complete, config_objects, debug_state, get_json, read_stream, run_tool,
+    send_request, streamed_completion, wait_for_peers, wait_until, wait_until_serving,
 };
 
 fn engine_spec() -> Value {
@@ -16,23 +16,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn example_objects_served_in_three_halls() {
     let site = Site::new();
-    let engine_a = site.engine("tb-engine-01", &engine_spec());
-    let engine_b = site.engine("tb-engine-02", &engine_spec());
-    let fees = site.service("tb-fee-lookup-1");
+    let engine_a = site.start_engine("tb-engine-01", &engine_spec());
+    let engine_b = site.start_engine("tb-engine-02", &engine_spec());
+    let fees = site.start_service("tb-fee-lookup-1");
     let platform = site.platform.address("address");
     for example in ["tavares-brandao", "fuel-cards"] {
         let file = format!(
             "{}/examples/{example}/objects.jsonc",
             env!("CARGO_MANIFEST_DIR")
         );
-        let checked = tool(&["check", &file]);
+        let checked = run_tool(&["check", &file]);
         assert!(checked.status.success(), "{checked:?}");
-        let published = tool(&["publish", "--platform", &platform, &file]);
+        let published = run_tool(&["publish", "--platform", &platform, &file]);
         assert!(published.status.success(), "{published:?}");
     }
     // Replace the endpoint addresses of the example by those of the endpoints started here.
-    let mut local_objects = objects("recife-1", &[("tb-engine-01", &engine_a)], &[]);
-    let second = objects(
+    let mut local_objects = config_objects("recife-1", &[("tb-engine-01", &engine_a)], &[]);
+    let second = config_objects(
         "recife-2",
         &[("tb-engine-02", &engine_b)],
         &[("tb-fee-lookup-1", &fees)],
@@ -47,15 +47,15 @@
     assert!(published.status.success(), "{published:?}");
 
     let instances = [
-        site.instance("entry-a", "recife-1"),
-        site.instance("entry-b", "recife-2"),
-        site.instance("entry-c", "natal-1"),
+        site.start_instance("entry-a", "recife-1"),
+        site.start_instance("entry-b", "recife-2"),
+        site.start_instance("entry-c", "natal-1"),
     ];
     for instance in &instances {
-        until_peers(instance, 2).await;
-        until_serving(instance).await;
+        wait_for_peers(instance, 2).await;
+        wait_until_serving(instance).await;
     }
-    let answer = get(format!(
+    let answer = get_json(format!(
         "http://{}/v1/entries",
         instances[0].address("caller")
     ))
@@ -70,7 +70,7 @@
     for entry in entries {
         let address = entry["address"].as_str().expect("address");
         let streamed = read_stream(
-            streaming(
+            streamed_completion(
                 address,
                 &json!({"max_tokens": 20, "prompt": "#length=20 x"}),
             ),
@@ -87,7 +87,7 @@
             .post(format!("http://{address}/v1/services/fees/lookup/17"))
             .bearer_auth(KEY)
             .body("plot 17");
-        let service = send(service).await;
+        let service = send_request(service).await;
         assert_eq!(service.body["echo"], "plot 17");
         assert_eq!(service.body["path"], "lookup/17");
     }
@@ -96,14 +96,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn chat_completions_buffered_and_streamed() {
     let site = Site::new();
-    let engine = site.engine("e1", &engine_spec());
+    let engine = site.start_engine("e1", &engine_spec());
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     let url = format!("http://{}/v1/chat/completions", instance.address("caller"));
     let body = |stream: bool| {
         json!({"model": "m", "max_tokens": 3, "stream": stream, "messages": [
@@ -111,7 +111,7 @@
             {"role": "user", "content": [{"type": "text", "text": "hello"}]}]})
     };
     let client = reqwest::Client::new();
-    let completed = send(client.post(&url).bearer_auth(KEY).json(&body(false))).await;
+    let completed = send_request(client.post(&url).bearer_auth(KEY).json(&body(false))).await;
     assert_eq!(completed.body["object"], "chat.completion");
     assert_eq!(completed.body["choices"][0]["message"]["role"], "assistant");
     let streamed = read_stream(client.post(&url).bearer_auth(KEY).json(&body(true)), 100).await;
@@ -123,14 +123,14 @@
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 async fn invalid_request_typed_error_and_not_run() {
     let site = Site::new();
-    let engine = site.engine("e1", &engine_spec());
+    let engine = site.start_engine("e1", &engine_spec());
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     let entry = instance.address("caller");
     let without_key = || reqwest::Client::new().post(format!("http://{entry}/v1/completions"));
     let with_key = || without_key().bearer_auth(KEY);
@@ -219,7 +219,7 @@
         ),
     ];
     for (name, request, status, kind) in cases {
-        let response = send(request).await;
+        let response = send_request(request).await;
         assert_eq!(
             (response.status, response.kind()),
             (status, kind),
@@ -233,19 +233,19 @@
 async fn operator_status_dump_metrics_and_drain() {
     let mut site = Site::new();
     site.times["entries_valid_ms"] = json!(100);
-    let engine = site.engine("e1", &engine_spec());
+    let engine = site.start_engine("e1", &engine_spec());
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let mut instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let mut instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     let operator = instance.address("operator");
-    let status = tool(&["status", "--operator", &operator, "--json"]);
+    let status = run_tool(&["status", "--operator", &operator, "--json"]);
     let status: Value = serde_json::from_slice(&status.stdout).expect("JSON");
     assert_eq!(status["phase"], "serving");
-    let state = dump(&instance).await;
+    let state = debug_state(&instance).await;
     assert_eq!(state["plugins"]["platform"], json!(["embedded", "http"]));
     assert_eq!(state["plugins"]["endpoint"], json!(["http"]));
     let policies = json!([
@@ -266,13 +266,17 @@
         reqwest::get(format!("http://{}/debug/state", instance.address("caller"))).await;
     assert_eq!(on_caller_address.expect("answer").status().as_u16(), 404);
     let platform = site.platform.address("address");
-    let config = tool(&["config", "show", "--platform", &platform]);
+    let config = run_tool(&["config", "show", "--platform", &platform]);
     assert!(String::from_utf8_lossy(&config.stdout).contains("endpoint/e1"));
-    let history = tool(&["config", "history", "--platform", &platform]);
+    let history = run_tool(&["config", "history", "--platform", &platform]);
     assert!(String::from_utf8_lossy(&history.stdout).contains("accepted"));
-    assert!(tool(&["drain", "--operator", &operator]).status.success());
-    until("the instance has stopped", || {
-        let ended = instance.ended_well();
+    assert!(
+        run_tool(&["drain", "--operator", &operator])
+            .status
+            .success()
+    );
+    wait_until("the instance has stopped", || {
+        let ended = instance.exit_success();
         async move { ended == Some(true) }
     })
     .await;
