--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,7 +1,9 @@
-//! Soak: processes under faults in series that overlap, and the promises checked from what callers and servers see.
+//! Soak test: runs instances under overlapping faults and checks the guarantees that callers and
+//! servers can observe.
 //!
-//! `cargo test --test soak` plays the seeds that ever failed and two more. By hand: `SOAK_SEEDS=50 SOAK_FIRST=1000 cargo test --test
-//! soak -- --nocapture`, and `SOAK_INSTANCES=40` for a wider site.
+//! `cargo test --test soak` runs the seeds that failed before and two more. For more seeds:
+//! `SOAK_SEEDS=50 SOAK_FIRST=1000 cargo test --test soak -- --nocapture`; `SOAK_INSTANCES=40` sets
+//! the number of instances.
 
 mod support;
 
@@ -23,114 +25,126 @@
 use support::site::{Caller, Instance, RoutedSite, event_numbers, wait_until};
 use support::suspension::SuspendableInstance;
 
-/// Seeds that failed once, each with its cause. 31026: the late words of all plain endpoints' former lives stayed the newest ones, so that an instance that
-/// started after them knew of none; the endpoints write their entries again now.
-const REGRESSIONS: [u64; 1] = [31026];
-/// Instances, where the environment names no other number.
-const INSTANCES: u64 = 4;
-/// Routes that a grown configuration has more: as many as the users' largest.
-const MANY_ROUTES: u32 = 1_400;
-const STEPS: u32 = 24;
-const STEP: Duration = Duration::from_millis(120);
+/// Seeds that failed before.
+///
+/// 31026: late entries of former incarnations remained the latest ones of all plain endpoints, so
+/// that an instance started afterwards knew no endpoint. The simulated endpoints now rewrite their
+/// entries.
+const REGRESSION_SEEDS: [u64; 1] = [31026];
+/// Number of instances unless `SOAK_INSTANCES` is set.
+const DEFAULT_INSTANCES: u64 = 4;
+/// Additional routes of a large configuration; as many as in the largest one in use.
+const EXTRA_ROUTES: u32 = 1_400;
+/// Number of injected faults.
+const FAULTS: u32 = 24;
+/// Interval between two faults.
+const FAULT_INTERVAL: Duration = Duration::from_millis(120);
 const CALLERS: usize = 6;
 
-/// A server writes its entry again after this time.
-const ENTRY_EVERY: Duration = Duration::from_millis(150);
+/// Time after which a server rewrites its entry.
+const ENTRY_REWRITE_DELAY: Duration = Duration::from_millis(150);
 
-/// What a caller asked for and what it saw.
-struct Seen {
+/// A request and its result, as seen by the caller.
+struct CallRecord {
     id: String,
-    /// Events asked for; nothing for a call that may run once.
+    /// Number of requested events; `None` for a call that must run at most once.
     events: Option<u32>,
-    /// Nothing where the connection broke before an answer.
+    /// `None` if the connection failed before a response.
     status: Option<u16>,
     body: String,
     is_complete: bool,
-    /// The instance that was called; empty where nobody asks.
+    /// Address of the called instance; empty if the checks do not need it.
     instance: String,
     sent_at: Instant,
     ended_at: Instant,
 }
 
-/// A body under which each endpoint ends that begins to run it.
-const CRASHING: &[u8] = b"a body that no endpoint survives";
-/// Endpoints that such a request may end once all is calm: three until it is known for what it is, and three more sends.
-const ENDED_MAX: usize = 6;
-/// What one plain endpoint and one engine name as their limit: they take nothing, and are tried now and then.
-const LIMIT: &str = "0";
-/// Requests that may reach it within any span of this length from instances that were told so long before: half as many again as it takes, and five.
-const LIMITED_MAX: usize = 5;
+/// Request body that crashes each endpoint that starts to run it.
+const CRASHING_BODY: &[u8] = b"a body that no endpoint survives";
+/// Maximum number of endpoints that the crashing request may crash after all faults are over.
+///
+/// Three until its fingerprint is refused, and three for further sends of the request.
+const CRASHES_MAX: usize = 6;
+/// Limit that one plain endpoint and one engine announce: they accept nothing and are only probed.
+const ANNOUNCED_LIMIT: &str = "0";
+/// Maximum number of requests to a limited endpoint within any [`LIMIT_SPAN`]: 1.5 times the limit,
+/// and five.
+///
+/// Counted are requests from instances that received the limit at least [`LIMIT_PROPAGATION`]
+/// before.
+const LIMITED_REQUESTS_MAX: usize = 5;
 const LIMIT_SPAN: Duration = Duration::from_secs(4);
-const LIMIT_TOLD: Duration = Duration::from_millis(500);
-/// How often it comes in a row.
-const CRASHING_TRIES: u32 = 6;
-/// Requests that may reach a server within a rest that it asked for.
-const RELIEF_MAX: usize = 2;
-/// Longest suspension of the instance whose clock is put forward.
-const SUSPENDED_MAX_MS: u64 = 6_000;
+const LIMIT_PROPAGATION: Duration = Duration::from_millis(500);
+/// Number of crashing requests in one fault.
+const CRASHING_ATTEMPTS: u32 = 6;
+/// Maximum number of requests to a server within a cooldown that it asked for.
+const COOLDOWN_REQUESTS_MAX: usize = 2;
+/// Maximum length of a simulated suspension.
+const SUSPENSION_MAX_MS: u64 = 6_000;
 
 struct Soak {
-    /// The instance whose machine is suspended now and then.
+    /// In-process instance whose suspension is simulated.
     suspendable: SuspendableInstance,
-    crashing_tries: AtomicU32,
+    crashing_requests: AtomicU32,
     site: RoutedSite,
-    /// Before the store.
-    proxy: Arc<Proxy>,
+    /// Proxy in front of the store.
+    store_proxy: Arc<Proxy>,
     instances: Mutex<Vec<Instance>>,
-    /// Before the instances' peer addresses; also of those that are gone.
-    peers: Mutex<Vec<Arc<Proxy>>>,
-    /// Each behind a proxy of its own.
+    /// Proxies in front of the instances' peer addresses, including stopped instances.
+    peer_proxies: Mutex<Vec<Arc<Proxy>>>,
+    /// Engines with the proxies in front of them.
     engines: Mutex<Vec<(Arc<Server>, Arc<Proxy>)>>,
-    started: AtomicU32,
-    version: AtomicU32,
-    /// Time of the next start of an endpoint.
-    born: AtomicU32,
-    over: AtomicBool,
+    instances_started: AtomicU32,
+    config_version: AtomicU32,
+    /// Start time of the next incarnation of an endpoint, as in the field `born` of its entry.
+    next_born: AtomicU32,
+    /// Set when the callers are to stop.
+    is_over: AtomicBool,
 }
 
 impl Soak {
     async fn start() -> Arc<Self> {
         let mut site = RoutedSite::start(3).await;
-        let proxy = Arc::new(Proxy::start(site.standin.store_address()).await);
-        site.set_store_address(proxy.address);
-        site.standin.crash_servers_on(CRASHING);
+        let store_proxy = Arc::new(Proxy::start(site.standin.store_address()).await);
+        site.set_store_address(store_proxy.address);
+        site.standin.crash_servers_on(CRASHING_BODY);
         let suspendable = SuspendableInstance::start(&site, "suspended").await;
         let soak = Self {
             suspendable,
-            crashing_tries: AtomicU32::new(0),
+            crashing_requests: AtomicU32::new(0),
             site,
-            proxy,
+            store_proxy,
             instances: Mutex::default(),
-            peers: Mutex::default(),
+            peer_proxies: Mutex::default(),
             engines: Mutex::default(),
-            started: AtomicU32::new(0),
-            version: AtomicU32::new(2),
-            born: AtomicU32::new(1),
-            over: AtomicBool::new(false),
+            instances_started: AtomicU32::new(0),
+            config_version: AtomicU32::new(2),
+            next_born: AtomicU32::new(1),
+            is_over: AtomicBool::new(false),
         };
         for _ in 0..4 {
             soak.add_engine().await;
         }
-        for _ in 0..number("SOAK_INSTANCES").unwrap_or(INSTANCES) {
+        for _ in 0..env_number("SOAK_INSTANCES").unwrap_or(DEFAULT_INSTANCES) {
             soak.add_instance().await;
         }
         Arc::new(soak)
     }
 
-    /// Puts new endpoints in the place of those that ended under a request. What stands before an endpoint ends with it.
-    async fn replace_ended(self: Arc<Self>) {
-        const LOOK_EVERY: Duration = Duration::from_millis(3);
+    /// Replaces engines that crashed; the proxy of a crashed engine is closed with it.
+    async fn replace_crashed(self: Arc<Self>) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(3);
         let mut replaced = 0;
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let ended = self.site.standin.crashed_servers();
-            for id in &ended[replaced..] {
-                let gone = {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let crashed = self.site.standin.crashed_servers();
+            for id in &crashed[replaced..] {
+                let removed = {
                     let mut engines = self.engines.lock();
-                    let place = engines.iter().position(|(engine, _)| engine.id == *id);
-                    place.map(|place| engines.remove(place))
+                    let position = engines.iter().position(|(engine, _)| engine.id == *id);
+                    position.map(|index| engines.remove(index))
                 };
-                if let Some((engine, proxy)) = gone {
+                if let Some((engine, proxy)) = removed {
                     drop(proxy);
                     let soak = self.clone();
                     tokio::spawn(async move {
@@ -140,53 +154,56 @@
                     });
                 }
             }
-            replaced = ended.len();
+            replaced = crashed.len();
         }
     }
 
-    /// Sends the request that ends endpoints to an instance; gives the status of its answer, where there is one.
-    async fn call_crashing(&self, caller: &Caller) -> Option<u16> {
-        let number = self.crashing_tries.fetch_add(1, Ordering::Relaxed);
+    /// Sends the crashing request to an instance; returns the response status, if any.
+    async fn send_crashing_request(&self, caller: &Caller) -> Option<u16> {
+        let number = self.crashing_requests.fetch_add(1, Ordering::Relaxed);
         let id = format!("crashing-{number}");
-        let request = caller.generation(2, &id).body(CRASHING);
-        let seen = ask(request, id, None).await;
-        if seen.status == Some(503) {
-            let ran = self.site.standin.servers_that_ran(&seen.id);
-            assert!(ran.is_empty(), "{} was answered 503 and ran", seen.id);
+        let request = caller.generation(2, &id).body(CRASHING_BODY);
+        let record = send_and_record(request, id, None).await;
+        if record.status == Some(503) {
+            let ran = self.site.standin.servers_that_ran(&record.id);
+            assert!(ran.is_empty(), "{} got status 503 and ran", record.id);
         }
-        seen.status
+        record.status
     }
 
-    /// The request that ends endpoints comes again and again, anywhere.
-    fn come_crashing(self: &Arc<Self>, random: &mut StdRng) {
-        let callers: Vec<Caller> = (0..CRASHING_TRIES)
-            .filter_map(|_| self.caller_of_one(random))
+    /// Sends the crashing request repeatedly to random instances.
+    fn send_crashing_requests(self: &Arc<Self>, random: &mut StdRng) {
+        let callers: Vec<Caller> = (0..CRASHING_ATTEMPTS)
+            .filter_map(|_| self.random_caller(random))
             .collect();
         let soak = self.clone();
         tokio::spawn(async move {
             for caller in callers {
-                soak.call_crashing(&caller).await;
+                soak.send_crashing_request(&caller).await;
             }
         });
     }
 
-    /// With all faults over, no instance sends it any more after a few endpoints at the most.
-    async fn check_crashing(&self) {
+    /// Checks that all instances refuse the crashing request, after at most [`CRASHES_MAX`] more
+    /// crashes.
+    ///
+    /// All other faults must be over.
+    async fn check_crashing_refused(&self) {
         let before = self.site.standin.crashed_servers().len();
         for caller in self.callers() {
-            wait_until("the crashing request refused", async || {
-                self.call_crashing(&caller).await == Some(503)
+            wait_until("the crashing request is refused", async || {
+                self.send_crashing_request(&caller).await == Some(503)
             })
             .await;
         }
         let more = self.site.standin.crashed_servers().len() - before;
         assert!(
-            more <= ENDED_MAX,
-            "{more} endpoints ended once all was calm"
+            more <= CRASHES_MAX,
+            "{more} endpoints crashed after all faults were over"
         );
     }
 
-    /// Callers of all instances that live.
+    /// Returns callers of all running instances.
     fn callers(&self) -> Vec<Caller> {
         let instances = self.instances.lock();
         let callers = instances.iter().map(Instance::caller);
@@ -199,74 +216,81 @@
     }
 
     async fn add_instance(&self) {
-        let number = self.started.fetch_add(1, Ordering::Relaxed);
+        let number = self.instances_started.fetch_add(1, Ordering::Relaxed);
         let seeds: Vec<String> = {
-            let peers = self.peers.lock();
-            peers.iter().map(|peer| peer.address.to_string()).collect()
+            let proxies = self.peer_proxies.lock();
+            proxies
+                .iter()
+                .map(|proxy| proxy.address.to_string())
+                .collect()
         };
         let name = format!("n{number}");
-        let (instance, peer) = self.site.start_instance_behind_proxy(&name, &seeds).await;
-        self.peers.lock().push(Arc::new(peer));
+        let (instance, proxy) = self.site.start_instance_behind_proxy(&name, &seeds).await;
+        self.peer_proxies.lock().push(Arc::new(proxy));
         self.instances.lock().push(instance);
     }
 
-    fn peer_proxy(&self, random: &mut StdRng) -> Arc<Proxy> {
-        let peers = self.peers.lock();
-        peers.choose(random).expect("instances").clone()
+    fn random_peer_proxy(&self, random: &mut StdRng) -> Arc<Proxy> {
+        let proxies = self.peer_proxies.lock();
+        proxies.choose(random).expect("instances").clone()
     }
 
-    /// All connections that are open go silent for good: those to the store, to engines and between instances.
-    fn silence_all(&self) {
-        self.proxy.blackhole_open_connections();
+    /// Blackholes all open connections to the store, to engines and between instances.
+    fn blackhole_all(&self) {
+        self.store_proxy.blackhole_open_connections();
         let engines = self.engines.lock();
-        let peers = self.peers.lock();
-        let engines = engines.iter().map(|(_, proxy)| proxy);
-        for proxy in engines.chain(peers.iter()) {
+        let peer_proxies = self.peer_proxies.lock();
+        let engine_proxies = engines.iter().map(|(_, proxy)| proxy);
+        for proxy in engine_proxies.chain(peer_proxies.iter()) {
             proxy.blackhole_open_connections();
         }
     }
 
-    fn caller_of_one(&self, random: &mut StdRng) -> Option<Caller> {
+    fn random_caller(&self, random: &mut StdRng) -> Option<Caller> {
         self.callers().choose(random).cloned()
     }
 
-    /// One fault; some end by themselves after a while, and others begin meanwhile.
-    async fn fault(self: &Arc<Self>, random: &mut StdRng) {
-        let lasts = Duration::from_millis(random.random_range(50..600));
+    /// Injects a random fault; faults that last for a time may overlap.
+    async fn inject_fault(self: &Arc<Self>, random: &mut StdRng) {
+        let duration = Duration::from_millis(random.random_range(50..600));
         match random.random_range(0..33) {
             0 => {
-                let gone = self.take_instance(random);
-                drop(gone);
+                let killed = self.remove_random_instance(random);
+                drop(killed);
                 self.add_instance().await;
             }
             1 => {
-                if let Some(instance) = self.take_instance(random) {
+                if let Some(instance) = self.remove_random_instance(random) {
                     instance.signal(Signal::SIGTERM);
                     self.add_instance().await;
-                    tokio::spawn(end_by_itself(instance));
+                    tokio::spawn(wait_for_exit(instance));
                 }
             }
             2 => {
                 let instances = self.instances.lock();
                 if let Some(instance) = instances.choose(random) {
                     instance.signal(Signal::SIGSTOP);
-                    let thaw = instance.resume_handle();
+                    let resume = instance.resume_handle();
                     tokio::spawn(async move {
-                        tokio::time::sleep(lasts).await;
-                        thaw();
+                        tokio::time::sleep(duration).await;
+                        resume();
                     });
                 }
             }
-            3 => self.mood_for(StoreFault::Busy, lasts),
-            4 => self.mood_for(StoreFault::Unresponsive, lasts),
-            5 => self.mood_for(StoreFault::LosesAppendReplies, lasts),
-            6 => link_for(&self.proxy, a_link(random), lasts),
-            7 => self.proxy.reset(),
+            3 => self.set_store_fault_for(StoreFault::Busy, duration),
+            4 => self.set_store_fault_for(StoreFault::Unresponsive, duration),
+            5 => self.set_store_fault_for(StoreFault::LosesAppendReplies, duration),
+            6 => set_link_mode_for(&self.store_proxy, random_link_mode(random), duration),
+            7 => self.store_proxy.reset(),
             8 => self.publish(0),
-            9 => self.publish(MANY_ROUTES),
+            9 => self.publish(EXTRA_ROUTES),
             10 => self.replace_engine(random).await,
-            11 => link_for(&self.engine_proxy(random), a_link(random), lasts),
-            12 => self.engine_proxy(random).reset(),
+            11 => set_link_mode_for(
+                &self.random_engine_proxy(random),
+                random_link_mode(random),
+                duration,
+            ),
+            12 => self.random_engine_proxy(random).reset(),
             13 => {
                 let topics = ["keyed.op", "keyed.servers", "keyed.status"];
                 let topic = topics.choose(random).expect("topics");
@@ -278,23 +302,29 @@
                     instance.signal(Signal::SIGHUP);
                 }
             }
-            15 => self.proxy.blackhole_open_connections(),
-            16 => self.engine_proxy(random).blackhole_open_connections(),
-            17 => self.peer_proxy(random).blackhole_open_connections(),
-            18 => self.silence_all(),
-            19 => link_for(&self.peer_proxy(random), a_link(random), lasts),
-            20 => self.peer_proxy(random).reset(),
-            21 => self.evacuate_for(lasts),
-            22 => self.start_again(random),
-            23 => self.garble_entry(random, lasts),
-            24 | 25 => self.come_crashing(random),
-            27 | 28 => self.leave_unlisted(random).await,
-            29 => self.start_cooldown_fault(random, lasts),
-            30 | 31 => self.come_back_from_copy(random, lasts),
+            15 => self.store_proxy.blackhole_open_connections(),
+            16 => self
+                .random_engine_proxy(random)
+                .blackhole_open_connections(),
+            17 => self.random_peer_proxy(random).blackhole_open_connections(),
+            18 => self.blackhole_all(),
+            19 => set_link_mode_for(
+                &self.random_peer_proxy(random),
+                random_link_mode(random),
+                duration,
+            ),
+            20 => self.random_peer_proxy(random).reset(),
+            21 => self.evacuate_for(duration),
+            22 => self.restart_app(random),
+            23 => self.corrupt_entry(random, duration),
+            24 | 25 => self.send_crashing_requests(random),
+            27 | 28 => self.drain_by_responses_only(random).await,
+            29 => self.start_cooldown_fault(random, duration),
+            30 | 31 => self.restore_store(random, duration),
             26 => {
-                let lasted_ms = random.random_range(500..SUSPENDED_MAX_MS);
+                let suspended_ms = random.random_range(500..SUSPENSION_MAX_MS);
                 let clock = &self.suspendable.clock;
-                clock.suspend(Duration::from_millis(lasted_ms));
+                clock.suspend(Duration::from_millis(suspended_ms));
             }
             _ => {
                 let faults = [
@@ -306,87 +336,89 @@
                 let app = self.site.apps.choose(random).expect("servers").clone();
                 app.set_fault(*faults.choose(random).expect("faults"));
                 tokio::spawn(async move {
-                    tokio::time::sleep(lasts).await;
+                    tokio::time::sleep(duration).await;
                     app.set_fault(ServerFault::None);
                 });
             }
         }
     }
 
-    fn take_instance(&self, random: &mut StdRng) -> Option<Instance> {
+    fn remove_random_instance(&self, random: &mut StdRng) -> Option<Instance> {
         let mut instances = self.instances.lock();
         let index = random.random_range(0..instances.len().max(1));
         (index < instances.len()).then(|| instances.remove(index))
     }
 
-    fn mood_for(self: &Arc<Self>, mood: StoreFault, lasts: Duration) {
-        self.site.standin.store.set_fault(mood);
+    fn set_store_fault_for(self: &Arc<Self>, fault: StoreFault, duration: Duration) {
+        self.site.standin.store.set_fault(fault);
         let soak = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             soak.site.standin.store.set_fault(StoreFault::None);
         });
     }
 
-    fn publish(&self, more_routes: u32) {
-        let version = u64::from(self.version.fetch_add(1, Ordering::Relaxed)) + 1;
+    fn publish(&self, extra_routes: u32) {
+        let version = u64::from(self.config_version.fetch_add(1, Ordering::Relaxed)) + 1;
         let standin = &self.site.standin;
-        standin.publish_with_routes(version, &[KEY], more_routes);
+        standin.publish_with_routes(version, &[KEY], extra_routes);
     }
 
-    fn engine_proxy(&self, random: &mut StdRng) -> Arc<Proxy> {
+    fn random_engine_proxy(&self, random: &mut StdRng) -> Arc<Proxy> {
         let engines = self.engines.lock();
         let (_, proxy) = engines.choose(random).expect("engines");
         proxy.clone()
     }
 
-    /// The hall of all endpoints is emptied; a second order may come before the first is taken back.
-    fn evacuate_for(self: &Arc<Self>, lasts: Duration) {
+    /// Evacuates the hall of all endpoints; a second order may come before the first is deleted.
+    fn evacuate_for(self: &Arc<Self>, duration: Duration) {
         self.site.standin.evacuate_hall("hall-1");
         let soak = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             soak.site.standin.restore_hall("hall-1");
         });
     }
 
-    fn any_app(&self, random: &mut StdRng) -> Arc<Server> {
+    fn random_app(&self, random: &mut StdRng) -> Arc<Server> {
         self.site.apps.choose(random).expect("servers").clone()
     }
 
-    fn list_born(&self, app: &Server, state: &str, born: u32) {
+    fn list_with_start_time(&self, app: &Server, state: &str, born: u32) {
         let fields = json!({"state": state, "born": born});
         self.site.standin.list_server_with(app, &fields);
     }
 
-    /// A plain endpoint leaves and starts again under its id; a late word of the former life follows, and the next one of this life.
-    fn start_again(self: &Arc<Self>, random: &mut StdRng) {
-        let app = self.any_app(random);
-        let born = self.born.fetch_add(2, Ordering::Relaxed);
-        self.list_born(&app, "draining", born);
-        self.list_born(&app, "ready", born + 1);
-        self.list_born(&app, "draining", born);
+    /// Restarts a plain endpoint under its id.
+    ///
+    /// A late entry of the former incarnation follows its new entry, and later the new entry again.
+    fn restart_app(self: &Arc<Self>, random: &mut StdRng) {
+        let app = self.random_app(random);
+        let born = self.next_born.fetch_add(2, Ordering::Relaxed);
+        self.list_with_start_time(&app, "draining", born);
+        self.list_with_start_time(&app, "ready", born + 1);
+        self.list_with_start_time(&app, "draining", born);
         let soak = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(ENTRY_EVERY).await;
-            soak.list_born(&app, "ready", born + 1);
+            tokio::time::sleep(ENTRY_REWRITE_DELAY).await;
+            soak.list_with_start_time(&app, "ready", born + 1);
         });
     }
 
-    /// Another writer takes the place of a plain endpoint's entry for a while.
-    fn garble_entry(self: &Arc<Self>, random: &mut StdRng, lasts: Duration) {
-        let app = self.any_app(random);
+    /// Overwrites the entry of a plain endpoint with invalid bytes for a time.
+    fn corrupt_entry(self: &Arc<Self>, random: &mut StdRng, duration: Duration) {
+        let app = self.random_app(random);
         let store = &self.site.standin.store;
         store.put_raw("keyed.servers", &app.id, b"\xff{\"state\":");
         let soak = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
-            let born = soak.born.fetch_add(2, Ordering::Relaxed);
-            soak.list_born(&app, "ready", born);
+            tokio::time::sleep(duration).await;
+            let born = soak.next_born.fetch_add(2, Ordering::Relaxed);
+            soak.list_with_start_time(&app, "ready", born);
         });
     }
 
-    /// An engine leaves, told or untold, or dies; another one comes.
+    /// Replaces an engine, which drains, loses its entry or crashes.
     async fn replace_engine(&self, random: &mut StdRng) {
         self.add_engine().await;
         let (leaving, proxy) = {
@@ -406,8 +438,10 @@
         });
     }
 
-    /// An engine leaves and says so in its answers alone: its entry stays as it was until it has ended.
-    async fn leave_unlisted(&self, random: &mut StdRng) {
+    /// Replaces an engine that announces draining in its responses only.
+    ///
+    /// Its entry stays ready until the engine has stopped.
+    async fn drain_by_responses_only(&self, random: &mut StdRng) {
         self.add_engine().await;
         let (leaving, proxy) = {
             let mut engines = self.engines.lock();
@@ -424,173 +458,193 @@
         });
     }
 
-    /// The store comes back from a copy that is some time old; what the operator and the servers wrote is written again a moment later.
-    fn come_back_from_copy(self: &Arc<Self>, random: &mut StdRng, age: Duration) {
-        let copy = self.site.standin.store.snapshot();
-        let again_after = Duration::from_millis(random.random_range(0..400));
+    /// Restores the store from a snapshot of some age.
+    ///
+    /// The operator and the servers repeat their lost writes a moment later.
+    fn restore_store(self: &Arc<Self>, random: &mut StdRng, age: Duration) {
+        let snapshot = self.site.standin.store.snapshot();
+        let replay_delay = Duration::from_millis(random.random_range(0..400));
         let soak = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(age).await;
             let store = &soak.site.standin.store;
-            let before = store.restore(copy);
-            tokio::time::sleep(again_after).await;
+            let before = store.restore(snapshot);
+            tokio::time::sleep(replay_delay).await;
             store.replay_lost_writes(&before);
         });
     }
 
-    /// A plain endpoint refuses for a while and asks for rest each time.
-    fn start_cooldown_fault(&self, random: &mut StdRng, lasts: Duration) {
-        let app = self.any_app(random);
+    /// Makes a plain endpoint refuse all requests for a time and ask for a cooldown each time.
+    fn start_cooldown_fault(&self, random: &mut StdRng, duration: Duration) {
+        let app = self.random_app(random);
         app.set_fault(ServerFault::Refuses);
         app.set_cooldown(Some("0.7"));
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             app.set_fault(ServerFault::None);
             app.set_cooldown(None);
         });
     }
 
-    /// From the beginning on, one plain endpoint and one engine take few from all instances together.
-    fn name_limits(&self) -> Vec<Arc<Server>> {
+    /// Makes one plain endpoint and one engine announce a limit for all instances together.
+    fn announce_limits(&self) -> Vec<Arc<Server>> {
         let engines = self.engines.lock();
         let limited = vec![self.site.apps[0].clone(), engines[0].0.clone()];
         for server in &limited {
-            server.announce_limit(Some(LIMIT));
+            server.announce_limit(Some(ANNOUNCED_LIMIT));
         }
         limited
     }
 
-    /// What reached a server that names a limit from instances that it had told, all of them together.
-    fn check_limits(&self, limited: &[Arc<Server>], all: &[Seen]) {
+    /// Checks the number of requests that limited servers got from instances that had received the
+    /// limit.
+    ///
+    /// The requests of all these instances count together.
+    fn check_limits(&self, limited: &[Arc<Server>], all: &[CallRecord]) {
         let instance_of: HashMap<&str, &str> = all
             .iter()
-            .map(|seen| (seen.id.as_str(), seen.instance.as_str()))
+            .map(|record| (record.id.as_str(), record.instance.as_str()))
             .collect();
         for server in limited {
-            let mut told_at: HashMap<&str, Instant> = HashMap::new();
+            let mut informed_at: HashMap<&str, Instant> = HashMap::new();
             let mut counted: Vec<Instant> = Vec::new();
             for arrival in self.site.standin.arrivals() {
                 let instance = instance_of.get(arrival.request.as_str());
                 let Some(instance) = instance.filter(|_| arrival.server == server.id) else {
                     continue;
                 };
-                let told_at = *told_at.entry(instance).or_insert(arrival.at);
-                if arrival.at > told_at + LIMIT_TOLD {
+                let informed_at = *informed_at.entry(instance).or_insert(arrival.at);
+                if arrival.at > informed_at + LIMIT_PROPAGATION {
                     counted.push(arrival.at);
                 }
             }
-            let within = |first: &Instant| {
+            let count_from = |first: &Instant| {
                 let span = *first..*first + LIMIT_SPAN;
                 counted.iter().filter(|at| span.contains(*at)).count()
             };
-            let most = counted.iter().map(within).max().unwrap_or_default();
+            let most = counted.iter().map(count_from).max().unwrap_or_default();
             println!(
-                "{most} reached {} from instances that it had told",
+                "{most} reached {} from instances that had received its limit",
                 server.id
             );
-            assert!(most <= LIMITED_MAX, "{most} reached {}", server.id);
+            assert!(most <= LIMITED_REQUESTS_MAX, "{most} reached {}", server.id);
         }
     }
 
-    /// What a server said of itself in an answer that came through an instance holds for what was asked of that instance afterwards.
-    fn check_words(&self, all: &[Seen]) {
+    /// Checks that an instance obeys the draining and cooldown signals of the responses that it
+    /// received.
+    fn check_signals(&self, all: &[CallRecord]) {
         let arrivals = self.site.standin.arrivals();
         let suspended = self.suspendable.caller().address;
-        let (mut heard_leaving, mut heard_rests) = (0, 0);
-        let asked: HashMap<&str, &Seen> = all.iter().map(|seen| (seen.id.as_str(), seen)).collect();
-        for told in &arrivals {
-            let Some(heard) = asked.get(told.request.as_str()) else {
+        let (mut draining_count, mut cooldown_count) = (0, 0);
+        let calls: HashMap<&str, &CallRecord> = all
+            .iter()
+            .map(|record| (record.id.as_str(), record))
+            .collect();
+        for signalled in &arrivals {
+            let Some(call) = calls.get(signalled.request.as_str()) else {
                 continue;
             };
-            // Through the same instance, by a caller that asked after the answer had come.
+            // Requests through the same instance that were sent after the response had arrived.
             let later = arrivals.iter().filter(|arrival| {
-                let seen = asked.get(arrival.request.as_str());
-                arrival.server == told.server
-                    && seen.is_some_and(|seen| {
-                        seen.instance == heard.instance && seen.sent_at > heard.ended_at
+                let record = calls.get(arrival.request.as_str());
+                arrival.server == signalled.server
+                    && record.is_some_and(|record| {
+                        record.instance == call.instance && record.sent_at > call.ended_at
                     })
             });
-            // A success was passed on, and its head was read with what the server said of itself.
-            let is_passed_on = heard.status == Some(200)
+            // The instance forwarded the response, and so has read the signals in its head.
+            let is_forwarded = call.status == Some(200)
                 && self
                     .site
                     .standin
-                    .servers_that_ran(&told.request)
-                    .contains(&told.server);
-            if told.announced_draining && is_passed_on {
-                heard_leaving += 1;
-                let late: Vec<&str> = later.clone().map(|one| one.request.as_str()).collect();
-                assert!(late.is_empty(), "{late:?} reached {}", told.server);
+                    .servers_that_ran(&signalled.request)
+                    .contains(&signalled.server);
+            if signalled.announced_draining && is_forwarded {
+                draining_count += 1;
+                let late: Vec<&str> = later
+                    .clone()
+                    .map(|arrival| arrival.request.as_str())
+                    .collect();
+                assert!(late.is_empty(), "{late:?} reached {}", signalled.server);
             }
-            // The clock of the one that is suspended runs ahead of the servers'.
-            if let Some(until) = told.cooldown_until
-                && heard.instance != suspended
-                && matches!(heard.status, Some(200 | 503))
+            // The suspended instance is excluded: its clock is ahead of the servers' clocks.
+            if let Some(cooldown_until) = signalled.cooldown_until
+                && call.instance != suspended
+                && matches!(call.status, Some(200 | 503))
             {
-                heard_rests += 1;
-                let in_rest = later.filter(|arrival| arrival.at < until).count();
-                assert!(in_rest <= RELIEF_MAX, "{in_rest} reached {}", told.server);
+                cooldown_count += 1;
+                let in_cooldown = later.filter(|arrival| arrival.at < cooldown_until).count();
+                assert!(
+                    in_cooldown <= COOLDOWN_REQUESTS_MAX,
+                    "{in_cooldown} reached {}",
+                    signalled.server
+                );
             }
         }
-        println!("heard that {heard_leaving} leave and {heard_rests} rest");
+        println!("{draining_count} draining signals and {cooldown_count} cooldowns received");
     }
 
-    async fn call_until_over(self: Arc<Self>, random_seed: u64, number: usize) -> Vec<Seen> {
+    async fn call_until_over(self: Arc<Self>, random_seed: u64, number: usize) -> Vec<CallRecord> {
         let mut random = StdRng::seed_from_u64(random_seed ^ (number as u64) << 32);
-        let mut seen = Vec::new();
-        while !self.over.load(Ordering::Relaxed) {
+        let mut records = Vec::new();
+        while !self.is_over.load(Ordering::Relaxed) {
             tokio::time::sleep(Duration::from_millis(random.random_range(1..10))).await;
-            let Some(caller) = self.caller_of_one(&mut random) else {
+            let Some(caller) = self.random_caller(&mut random) else {
                 continue;
             };
-            let id = format!("c{number}-{}", seen.len());
+            let id = format!("c{number}-{}", records.len());
             let events = random.random_bool(0.5).then(|| random.random_range(1..40));
             let request = match events {
                 Some(events) => caller.generation(events, &id),
                 None => caller.request("/once/1", &id),
             };
-            let asked = ask(request, id, events).await;
+            let result = send_and_record(request, id, events).await;
             let instance = caller.address.clone();
-            seen.push(Seen { instance, ..asked });
+            records.push(CallRecord { instance, ..result });
         }
-        seen
+        records
     }
 
-    fn check(&self, seen: &Seen) {
-        let runs = self.site.standin.servers_that_ran(&seen.id).len();
-        let id = &seen.id;
+    /// Checks the guarantees on a single request.
+    ///
+    /// It ran at most once, did not run if it was refused, and its events are complete and in
+    /// order.
+    fn check_call(&self, record: &CallRecord) {
+        let runs = self.site.standin.servers_that_ran(&record.id).len();
+        let id = &record.id;
         assert!(runs <= 1, "{id} ran {runs} times");
-        if matches!(seen.status, Some(408 | 421 | 429 | 503)) {
-            assert_eq!(runs, 0, "{id} was answered {:?} and ran", seen.status);
+        if matches!(record.status, Some(408 | 421 | 429 | 503)) {
+            assert_eq!(runs, 0, "{id} got status {:?} and ran", record.status);
         }
-        if seen.status != Some(200) {
+        if record.status != Some(200) {
             return;
         }
-        let Some(events) = seen.events else {
+        let Some(events) = record.events else {
             assert!(
-                !seen.is_complete || seen.body == "hello",
+                !record.is_complete || record.body == "hello",
                 "{id}: {:?}",
-                seen.body
+                record.body
             );
             return;
         };
-        let numbers = event_numbers(&seen.body);
+        let numbers = event_numbers(&record.body);
         let count = u32::try_from(numbers.len()).expect("few events");
         let expected: Vec<u32> = (1..=count).collect();
-        assert_eq!(numbers, expected, "{id}: an event is missing or came twice");
+        assert_eq!(numbers, expected, "{id}: an event is missing or duplicated");
         assert!(
-            !seen.is_complete || count == events,
-            "{id}: whole after {count} of {events}"
+            !record.is_complete || count == events,
+            "{id}: complete after {count} of {events} events"
         );
     }
 
-    /// With all faults over, everything comes back.
+    /// Checks that all instances serve again after the faults are over.
     async fn check_recovery(&self) {
         let callers = self.callers();
-        let version = self.version.load(Ordering::Relaxed);
+        let version = self.config_version.load(Ordering::Relaxed);
         for caller in &callers {
             wait_until(
-                "the last configuration in force, and nothing in flight",
+                "the last configuration is in force and no call is in flight",
                 async || {
                     let state = caller.state().await;
                     state["config_version"].as_u64().unwrap_or_default() >= u64::from(version)
@@ -599,47 +653,53 @@
                 },
             )
             .await;
-            wait_until("calls answered", async || {
-                let seen = ask(caller.request("/once/1", "after"), String::new(), None).await;
-                seen.status == Some(200)
+            wait_until("calls are served", async || {
+                let record =
+                    send_and_record(caller.request("/once/1", "after"), String::new(), None).await;
+                record.status == Some(200)
             })
             .await;
         }
     }
 }
 
-fn a_link(random: &mut StdRng) -> LinkMode {
-    let links = [
+fn random_link_mode(random: &mut StdRng) -> LinkMode {
+    let modes = [
         LinkMode::Delayed(Duration::from_millis(80)),
         LinkMode::Stalled,
         LinkMode::ResponsesStalled,
     ];
-    *links.choose(random).expect("links")
+    *modes.choose(random).expect("modes")
 }
 
-fn link_for(proxy: &Arc<Proxy>, link: LinkMode, lasts: Duration) {
-    proxy.set_mode(link);
+fn set_link_mode_for(proxy: &Arc<Proxy>, mode: LinkMode, duration: Duration) {
+    proxy.set_mode(mode);
     let proxy = proxy.clone();
     tokio::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         proxy.set_mode(LinkMode::Normal);
     });
 }
 
-/// A number from the environment.
-fn number(name: &str) -> Option<u64> {
+/// Returns a number from an environment variable; `None` if it is unset or invalid.
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-async fn end_by_itself(mut instance: Instance) {
-    const LOOK_EVERY: Duration = Duration::from_millis(50);
+async fn wait_for_exit(mut instance: Instance) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     while instance.exit_success().is_none() {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask(request: reqwest::RequestBuilder, id: String, events: Option<u32>) -> Seen {
-    let mut seen = Seen {
+/// Sends a request and records its result; the request times out after 20 s.
+async fn send_and_record(
+    request: reqwest::RequestBuilder,
+    id: String,
+    events: Option<u32>,
+) -> CallRecord {
+    let mut record = CallRecord {
         id,
         events,
         status: None,
@@ -649,66 +709,67 @@
         sent_at: Instant::now(),
         ended_at: Instant::now(),
     };
-    let Ok(mut answer) = request.timeout(Duration::from_secs(20)).send().await else {
-        return seen;
+    let Ok(mut response) = request.timeout(Duration::from_secs(20)).send().await else {
+        return record;
     };
-    seen.status = Some(answer.status().as_u16());
+    record.status = Some(response.status().as_u16());
     let mut body = Vec::new();
-    seen.is_complete = loop {
-        match answer.chunk().await {
+    record.is_complete = loop {
+        match response.chunk().await {
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => break true,
             Err(_) => break false,
         }
     };
-    seen.body = String::from_utf8_lossy(&body).into_owned();
-    seen.ended_at = Instant::now();
-    seen
+    record.body = String::from_utf8_lossy(&body).into_owned();
+    record.ended_at = Instant::now();
+    record
 }
 
-async fn play(seed: u64) {
+/// Runs the soak test with one seed.
+async fn run_seed(seed: u64) {
     println!("soak seed {seed}");
     let soak = Soak::start().await;
-    let replacing = tokio::spawn(soak.clone().replace_ended());
-    let limited = soak.name_limits();
+    let replacement = tokio::spawn(soak.clone().replace_crashed());
+    let limited = soak.announce_limits();
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| tokio::spawn(soak.clone().call_until_over(seed, number)))
         .collect();
     let mut random = StdRng::seed_from_u64(seed);
-    for _ in 0..STEPS {
-        tokio::time::sleep(STEP).await;
-        soak.fault(&mut random).await;
+    for _ in 0..FAULTS {
+        tokio::time::sleep(FAULT_INTERVAL).await;
+        soak.inject_fault(&mut random).await;
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
-    soak.over.store(true, Ordering::Relaxed);
+    soak.is_over.store(true, Ordering::Relaxed);
     let mut all = Vec::new();
     for caller in callers {
-        all.extend(caller.await.expect("a caller ended"));
+        all.extend(caller.await.expect("caller task completes"));
     }
-    let served = all
+    let served_calls = all
         .iter()
-        .filter(|seen| seen.status == Some(200) && seen.is_complete);
+        .filter(|record| record.status == Some(200) && record.is_complete);
     println!(
         "soak seed {seed}: {} of {} served",
-        served.count(),
+        served_calls.count(),
         all.len()
     );
-    for seen in &all {
-        soak.check(seen);
+    for record in &all {
+        soak.check_call(record);
     }
-    soak.check_words(&all);
+    soak.check_signals(&all);
     soak.check_limits(&limited, &all);
     soak.check_recovery().await;
-    soak.check_crashing().await;
-    replacing.abort();
+    soak.check_crashing_refused().await;
+    replacement.abort();
     soak.suspendable.abort().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn soak_seeds_promises_hold() {
-    let first = number("SOAK_FIRST").unwrap_or(1);
-    let seeds = number("SOAK_SEEDS").unwrap_or(2);
-    for seed in REGRESSIONS.into_iter().chain(first..first + seeds) {
-        play(seed).await;
+async fn soak_guarantees_hold() {
+    let first = env_number("SOAK_FIRST").unwrap_or(1);
+    let count = env_number("SOAK_SEEDS").unwrap_or(2);
+    for seed in REGRESSION_SEEDS.into_iter().chain(first..first + count) {
+        run_seed(seed).await;
     }
 }
