--- a/src/standin/engine_core.rs
+++ b/src/standin/engine_core.rs
@@ -127,7 +127,7 @@
         });
     requested.unwrap_or_else(|| {
         let mut random = SmallRng::seed_from_u64(request.seed);
-        // The product of uniform factors approximates the heavy tail of real output lengths.
+        // The product of uniform factors is heavy-tailed, which suffices for a demo.
         let spread: f64 = (0..4).map(|_| random.random_range(0.3..3.0)).product();
         #[expect(
             clippy::cast_possible_truncation,
@@ -189,7 +189,7 @@
 
     /// Queues a generation and returns its number.
     ///
-    /// Returns `None` if the queue is full or the prompt exceeds the KV-cache capacity.
+    /// Returns `None` if the queue is full or the prompt leaves no KV-cache capacity for output.
     pub fn submit(&mut self, request: GenerationRequest) -> Option<u64> {
         let prompt = u64::from(prompt_tokens(&request.prompt));
         if self.waiting.len() >= self.spec.waiting_max || prompt >= self.spec.kv_capacity_tokens {
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -83,7 +83,7 @@
                 let requests = forward(from_caller, to_server, modes.subscribe(), false);
                 let responses = forward(from_server, to_caller, modes.subscribe(), true);
                 let connection = async move {
-                    let blackholed = async {
+                    let until_blackholed = async {
                         let _ = blackholes.wait_for(|before| number < *before).await;
                     };
                     tokio::pin!(requests, responses);
@@ -93,7 +93,7 @@
                         // Polled first, so that bytes held at this point are never forwarded.
                         biased;
                         // Reads nothing more and keeps both sockets open.
-                        () = blackholed => std::future::pending().await,
+                        () = until_blackholed => std::future::pending().await,
                         () = &mut requests => {}
                         () = &mut responses => {}
                     }
