--- a/benches/store_returns.rs
+++ b/benches/store_returns.rs
@@ -10,7 +10,7 @@
 
 use larkwick::standin::site::KEY;
 use larkwick::standin::site::server::{Server, ServerKind};
-use support::site::{Instance, RoutedSite, until};
+use support::site::{Instance, RoutedSite, wait_until};
 
 const COUNTED_FOR: Duration = Duration::from_secs(10);
 const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(300);
@@ -24,14 +24,14 @@
 
 fn calls(site: &RoutedSite) -> u32 {
     let store = &site.standin.store;
-    PATHS.iter().map(|path| store.calls(path)).sum()
+    PATHS.iter().map(|path| store.call_count(path)).sum()
 }
 
 async fn knows(instance: &Instance, version: u64, era: u64, server: &Server) -> bool {
     let state = instance.state().await;
     state["config_version"].as_u64() >= Some(version)
         && state["store_era"].as_u64() >= Some(era)
-        && instance.standing(server).await == "ready"
+        && instance.endpoint_availability(server).await == "ready"
 }
 
 /// How long after a moment each instance knows it, the slowest last.
@@ -58,19 +58,19 @@
     let mut instances: Vec<Instance> = Vec::new();
     for number in 0..count {
         let seeds: Vec<&Instance> = instances.iter().take(SEEDS).collect();
-        instances.push(site.instance_at_usual_times(&format!("n{number}"), &seeds));
+        instances.push(site.start_instance_with_default_times(&format!("n{number}"), &seeds));
     }
     for instance in &instances {
-        instance.until_ready().await;
+        instance.wait_until_ready().await;
     }
-    until("all have met", async || {
+    wait_until("all have met", async || {
         let state = instances[0].state().await;
         state["members"].as_array().map(Vec::len) == Some(count - 1)
     })
     .await;
-    let copy = site.standin.store.copy();
+    let copy = site.standin.store.snapshot();
     site.standin.publish(3, &[KEY]);
-    let server = site.standin.server("app", ServerKind::Plain).await;
+    let server = site.standin.start_server("app", ServerKind::Plain).await;
     let server = server.expect("server starts");
     known_after(&instances, Instant::now(), 3, 0, &server).await;
     let before = calls(&site);
@@ -78,9 +78,9 @@
     let quiet = calls(&site) - before;
     let before = calls(&site);
     let returned_at = Instant::now();
-    let lost = site.standin.store.come_back_from(copy);
+    let lost = site.standin.store.restore(copy);
     tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
-    site.standin.store.write_again(&lost);
+    site.standin.store.replay_lost_writes(&lost);
     let after = known_after(&instances, returned_at, 3, 1, &server).await;
     tokio::time::sleep(COUNTED_FOR.saturating_sub(returned_at.elapsed())).await;
     let returning = calls(&site) - before;
--- a/src/tool/load/arrivals.rs
+++ b/src/tool/load/arrivals.rs
@@ -187,8 +187,8 @@
     let fill_limit_tokens =
         crate::kernel::policy::tokens_as_f64(spec.kv_capacity_tokens) * FILL_FRACTION;
     while submitted < REQUESTS {
-        let used_tokens = crate::kernel::policy::tokens_as_f64(engine.counts().kv_used_tokens);
-        if used_tokens < fill_limit_tokens && engine.counts().waiting == 0 {
+        let used_tokens = crate::kernel::policy::tokens_as_f64(engine.load_counts().kv_used_tokens);
+        if used_tokens < fill_limit_tokens && engine.load_counts().waiting == 0 {
             let arrival = mix.sample_request(Duration::ZERO, &mut random);
             engine.submit(super::stream::generation_request(&arrival, mix));
             submitted += 1;
--- a/src/tool/load/compare.rs
+++ b/src/tool/load/compare.rs
@@ -256,7 +256,7 @@
     let preemptions: u64 = site
         .engines
         .iter()
-        .map(|running| running.engine.report_now().preemptions_total)
+        .map(|running| running.engine.current_load().preemptions_total)
         .sum();
     let metrics = compute_metrics(policy, &measured, preemptions, options.duration)?;
     tear_down(site).await;
--- a/tests/endpoint_signals.rs
+++ b/tests/endpoint_signals.rs
@@ -27,8 +27,8 @@
 use larkwick::kernel::limit::LimitSignal;
 use larkwick::platform::engine;
 use larkwick::standin::site::server::{Server, ServerFault};
-use larkwick::standin::site::store::StoreMood;
-use support::site::{Instance, RoutedSite, answered, event_numbers, until};
+use larkwick::standin::site::store::StoreFault;
+use support::site::{Instance, RoutedSite, event_numbers, send_request, wait_until};
 
 /// Number of calls that shows how calls are distributed. With two available endpoints, the
 /// probability that all calls go to the same one is below one in a billion.
@@ -49,75 +49,79 @@
 /// Sends calls until this server has received one.
 async fn until_answered_by(instance: &Instance, server: &Server, name: &str) {
     let mut tries = 0;
-    until("a request reached it", async || {
+    wait_until("a request reached it", async || {
         tries += 1;
         instance.call("/calls/a", &format!("{name}-{tries}")).await;
-        server.requests() > 0
+        server.request_count() > 0
     })
     .await;
 }
 
 /// Starts two engines; the first one refuses requests and asks for a cooldown.
 async fn cooling_engine(site: &RoutedSite) -> (Arc<Server>, Arc<Server>) {
-    let (cooling, other) = (site.engine().await, site.engine().await);
+    let (cooling, other) = (site.start_engine().await, site.start_engine().await);
     cooling.set_fault(ServerFault::Refuses);
-    cooling.ask_for_rest(Some(LONG_COOLDOWN));
+    cooling.set_cooldown(Some(LONG_COOLDOWN));
     (cooling, other)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_in_a_response_no_further_calls() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let draining = &site.apps[0];
-    draining.say_leaving("1");
+    draining.announce_draining("1");
     until_answered_by(&instance, draining, "first").await;
-    let before = draining.requests();
+    let before = draining.request_count();
     call_all(&instance, "after").await;
-    assert_eq!(draining.requests(), before, "calls still reached it");
+    assert_eq!(draining.request_count(), before, "calls still reached it");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_engine_no_further_generations_from_any_instance() {
     let site = RoutedSite::start(0).await;
-    let (draining, other) = (site.engine().await, site.engine().await);
-    let first = site.instance("n1").await;
-    let second = site.instance_with_seeds("n2", &[&first]);
-    second.until_ready().await;
-    draining.say_leaving("1");
+    let (draining, other) = (site.start_engine().await, site.start_engine().await);
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance_with_peers("n2", &[&first]);
+    second.wait_until_ready().await;
+    draining.announce_draining("1");
     let mut tries = 0;
-    until("a request reached it", async || {
+    wait_until("a request reached it", async || {
         tries += 1;
-        answered(first.generation(2, &format!("first-{tries}"))).await;
-        draining.requests() > 0
+        send_request(first.generation(2, &format!("first-{tries}"))).await;
+        draining.request_count() > 0
     })
     .await;
     for instance in [&first, &second] {
-        until("known", async || {
-            instance.standing(&draining).await == "leaving"
+        wait_until("known", async || {
+            instance.endpoint_availability(&draining).await == "leaving"
         })
         .await;
     }
-    let before = draining.requests();
+    let before = draining.request_count();
     for (number, instance) in [&first, &second].into_iter().cycle().take(20).enumerate() {
-        let answer = answered(instance.generation(2, &format!("after-{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("after-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    assert_eq!(draining.requests(), before, "generations still reached it");
-    assert!(other.requests() >= 20);
+    assert_eq!(
+        draining.request_count(),
+        before,
+        "generations still reached it"
+    );
+    assert!(other.request_count() >= 20);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cooldown_of_an_endpoint_calls_go_elsewhere() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let cooling = &site.apps[0];
     cooling.set_fault(ServerFault::Refuses);
-    cooling.ask_for_rest(Some(LONG_COOLDOWN));
+    cooling.set_cooldown(Some(LONG_COOLDOWN));
     for round in 0..5 {
         call_all(&instance, &format!("round-{round}")).await;
     }
-    let received = cooling.requests();
+    let received = cooling.request_count();
     assert!(
         (1..=REQUESTS_MAX).contains(&received),
         "{received} requests reached it"
@@ -128,17 +132,17 @@
 async fn cooldown_of_an_engine_generations_go_elsewhere() {
     let site = RoutedSite::start(0).await;
     let (cooling, _other) = cooling_engine(&site).await;
-    let first = site.instance("n1").await;
-    let second = site.instance_with_seeds("n2", &[&first]);
-    second.until_ready().await;
+    let first = site.start_instance("n1").await;
+    let second = site.start_instance_with_peers("n2", &[&first]);
+    second.wait_until_ready().await;
     let instances = [&first, &second];
     for (number, instance) in instances.into_iter().cycle().take(16).enumerate() {
-        let answer = answered(instance.generation(2, &format!("g-{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("g-{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         // Longer than the owner avoids an engine after a refusal.
         tokio::time::sleep(Duration::from_millis(450)).await;
     }
-    let received = cooling.requests();
+    let received = cooling.request_count();
     assert!(
         (1..=REQUESTS_MAX * instances.len()).contains(&received),
         "{received} requests reached it"
@@ -148,20 +152,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cooldown_of_all_refused_at_once_with_retry_time() {
     let site = RoutedSite::start(2).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for app in &site.apps {
         app.set_fault(ServerFault::Refuses);
-        app.ask_for_rest(Some(LONG_COOLDOWN));
+        app.set_cooldown(Some(LONG_COOLDOWN));
     }
     for number in 0..20 {
         let id = format!("call-{number}");
         let answer = instance.call("/calls/a", &id).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.retry_after.is_some(), "{answer:?}");
-        assert!(site.standin.runs_of(&id).is_empty());
+        assert!(site.standin.servers_that_ran(&id).is_empty());
     }
     for app in &site.apps {
-        let received = app.requests();
+        let received = app.request_count();
         assert!(received <= REQUESTS_MAX, "{received} requests reached one");
     }
     let retry_after = instance.call("/calls/a", "last").await.retry_after;
@@ -176,10 +180,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cooldown_of_all_ending_within_the_objective_waited_for() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let app = &site.apps[0];
     app.set_fault(ServerFault::Refuses);
-    app.ask_for_rest(Some("0.4"));
+    app.set_cooldown(Some("0.4"));
     assert_eq!(instance.call("/calls/a", "refused").await.status, 503);
     app.set_fault(ServerFault::None);
     let answer = instance.call("/calls/a", "waits").await;
@@ -277,35 +281,36 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_engine_running_generations_moved() {
     let site = RoutedSite::start(0).await;
-    let engines = [site.engine().await, site.engine().await];
-    let instance = site.instance("n1").await;
-    let long = tokio::spawn(answered(instance.generation(200, "long")));
-    until("it runs", async || {
-        engines.iter().any(|engine| engine.running() > 0)
+    let engines = [site.start_engine().await, site.start_engine().await];
+    let instance = site.start_instance("n1").await;
+    let long = tokio::spawn(send_request(instance.generation(200, "long")));
+    wait_until("it runs", async || {
+        engines.iter().any(|engine| engine.running_count() > 0)
     })
     .await;
-    let is_on_first = engines[0].running() > 0;
+    let is_on_first = engines[0].running_count() > 0;
     let (draining, other) = if is_on_first {
         (&engines[0], &engines[1])
     } else {
         (&engines[1], &engines[0])
     };
-    draining.say_leaving("1");
+    draining.announce_draining("1");
     let mut tries = 0;
-    until("known", async || {
+    wait_until("known", async || {
         tries += 1;
         // Several at once, so that some go to each engine.
-        let short = |number| answered(instance.generation(4, &format!("short-{number}-{tries}")));
+        let short =
+            |number| send_request(instance.generation(4, &format!("short-{number}-{tries}")));
         tokio::join!(short(1), short(2), short(3));
-        instance.standing(draining).await == "leaving"
+        instance.endpoint_availability(draining).await == "leaving"
     })
     .await;
     let answer = long.await.expect("answered");
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
     let numbers = event_numbers(&answer.body);
     assert_eq!(numbers, (1..=200).collect::<Vec<u32>>());
     assert!(
-        other.head_of("long").is_some(),
+        other.request_headers("long").is_some(),
         "resumed on the other engine"
     );
 }
@@ -315,20 +320,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_all_while_the_list_is_unavailable_refused_at_once() {
     let site = RoutedSite::start(1).await;
-    let engine = site.engine().await;
-    let instance = site.instance("n1").await;
+    let engine = site.start_engine().await;
+    let instance = site.start_instance("n1").await;
     for server in [&site.apps[0], &engine] {
-        server.say_leaving("1");
+        server.announce_draining("1");
     }
     assert_eq!(instance.call("/calls/a", "first").await.status, 200);
     assert_eq!(
-        answered(instance.generation(2, "first-2")).await.status,
+        send_request(instance.generation(2, "first-2")).await.status,
         200
     );
-    site.standin.store.set_mood(StoreMood::Busy);
-    until("retry time covers the outage of the list", async || {
+    site.standin.store.set_fault(StoreFault::Busy);
+    wait_until("retry time covers the outage of the list", async || {
         let call = instance.call("/calls/a", "second").await;
-        let generation = answered(instance.generation(2, "second-2")).await;
+        let generation = send_request(instance.generation(2, "second-2")).await;
         assert_eq!((call.status, generation.status), (503, 503));
         call.retry_after >= Some(2.0) && generation.retry_after >= Some(2.0)
     })
@@ -337,7 +342,7 @@
 
 /// Returns the names of unknown headers that an instance has logged, for one kind of peer.
 fn unknown_headers(instance: &Instance, kind: &str) -> BTreeSet<String> {
-    let lines = instance.lines.lock().expect("lines");
+    let lines = instance.log_lines.lock().expect("lines");
     let unknown = lines
         .iter()
         .filter(|line| line["payload"] == "unknown on the platform")
@@ -352,23 +357,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_header_unknown_logged_once_for_any_response() {
     let site = RoutedSite::start(2).await;
-    site.apps[0].say_unknown("x-of-a-call");
-    site.apps[1].say_unknown("x-of-a-refusal");
+    site.apps[0].add_unknown_header("x-of-a-call");
+    site.apps[1].add_unknown_header("x-of-a-refusal");
     site.apps[1].set_fault(ServerFault::Refuses);
-    let (source, target) = (site.engine().await, site.engine().await);
+    let (source, target) = (site.start_engine().await, site.start_engine().await);
     for engine in [&source, &target] {
-        engine.say_unknown("x-of-an-engine");
+        engine.add_unknown_header("x-of-an-engine");
     }
-    site.standin.store.say_unknown("x-of-the-store");
-    let instance = site.instance("n1").await;
+    site.standin.store.add_unknown_header("x-of-the-store");
+    let instance = site.start_instance("n1").await;
     let logged_names = async || {
         instance.call("/calls/a", "any").await;
-        answered(instance.generation(2, "any-2")).await;
+        send_request(instance.generation(2, "any-2")).await;
         unknown_headers(&instance, "endpoint's header")
     };
     let expected = ["x-of-a-call", "x-of-a-refusal", "x-of-an-engine"];
     let expected: BTreeSet<String> = expected.into_iter().map(str::to_owned).collect();
-    until("logged", async || logged_names().await == expected).await;
+    wait_until("logged", async || logged_names().await == expected).await;
     let of_store = unknown_headers(&instance, "store's header");
     assert_eq!(of_store, BTreeSet::from(["x-of-the-store".to_owned()]));
     let metrics = instance.metrics().await;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -16,7 +16,7 @@
 
 use larkwick::standin::site::server::Server;
 use nix::sys::signal::Signal;
-use support::site::{Answered, Caller, Instance, RoutedSite, answered, until};
+use support::site::{Caller, HttpResponse, Instance, RoutedSite, send_request, wait_until};
 
 /// The limit that the endpoints announce, as a number and as the header value.
 const LIMIT_PER_S: f64 = 2.5;
@@ -36,11 +36,11 @@
 
 /// Starts `count` instances that know each other.
 async fn instances(site: &RoutedSite, count: usize) -> Vec<Instance> {
-    let first = site.instance("n0").await;
+    let first = site.start_instance("n0").await;
     let mut instances = vec![first];
     for number in 1..count {
-        let instance = site.instance_with_seeds(&format!("n{number}"), &[&instances[0]]);
-        instance.until_ready().await;
+        let instance = site.start_instance_with_peers(&format!("n{number}"), &[&instances[0]]);
+        instance.wait_until_ready().await;
         instances.push(instance);
     }
     instances
@@ -52,7 +52,7 @@
     instances: &[Instance],
     pause: Duration,
     request: impl Fn(&Caller, &str) -> reqwest::RequestBuilder,
-) -> Vec<Answered> {
+) -> Vec<HttpResponse> {
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
     let started_at = Instant::now();
     let mut calls = Vec::new();
@@ -61,7 +61,7 @@
             break;
         }
         let request = request(caller, &format!("r{number}"));
-        calls.push(tokio::spawn(answered(request)));
+        calls.push(tokio::spawn(send_request(request)));
         tokio::time::sleep(pause).await;
     }
     let mut answers = Vec::new();
@@ -72,7 +72,7 @@
 }
 
 fn assert_limit_kept(server: &Arc<Server>, announced_at: Instant) {
-    let most = server.most_within(SPAN, announced_at + COUNTING_DELAY);
+    let most = server.max_requests_within(SPAN, announced_at + COUNTING_DELAY);
     let most = f64::from(u32::try_from(most).expect("few requests"));
     let allowed = max_requests(LIMIT_PER_S);
     assert!(
@@ -88,7 +88,7 @@
     let instances = instances(&site, 4).await;
     let announced_at = Instant::now();
     for app in &site.apps[..2] {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
@@ -110,12 +110,12 @@
     let site = RoutedSite::start(0).await;
     let mut engines = Vec::new();
     for _ in 0..3 {
-        engines.push(site.engine().await);
+        engines.push(site.start_engine().await);
     }
     let instances = instances(&site, 4).await;
     let announced_at = Instant::now();
     for engine in &engines[..2] {
-        engine.name_limit(Some(LIMIT));
+        engine.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(50), |caller, id| {
         caller.generation(4, id)
@@ -140,7 +140,7 @@
     let instances = instances(&site, 4).await;
     let announced_at = Instant::now();
     for app in &site.apps {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
@@ -160,7 +160,7 @@
             "{answer:?}: an earlier retry meets the same congestion"
         );
     }
-    let ran = |number: usize| site.standin.runs_of(&format!("r{number}")).len();
+    let ran = |number: usize| site.standin.servers_that_ran(&format!("r{number}")).len();
     let ran = (0..answers.len()).map(ran).sum::<usize>();
     assert_eq!(ran, served.len(), "a refused request ran");
 }
@@ -172,10 +172,10 @@
     let site = RoutedSite::start(2).await;
     let instances = instances(&site, 3).await;
     let app = &site.apps[0];
-    app.name_limit(Some("0"));
+    app.announce_limit(Some("0"));
     let wait_until_known = async |is_limited: bool| {
         for instance in &instances {
-            until("every instance knows", async || {
+            wait_until("every instance knows", async || {
                 instance.call("/calls/a", "any").await;
                 let state = instance.state().await;
                 let endpoints = state["endpoints"].as_object().cloned().unwrap_or_default();
@@ -186,16 +186,16 @@
         }
     };
     wait_until_known(true).await;
-    app.name_limit(None);
+    app.announce_limit(None);
     wait_until_known(false).await;
-    let before = app.requests();
+    let before = app.request_count();
     for number in 0..40 {
         let answer = instances[0]
             .call("/calls/a", &format!("after-{number}"))
             .await;
         assert_eq!(answer.status, 200);
     }
-    assert!(app.requests() > before);
+    assert!(app.request_count() > before);
 }
 
 /// The instances are suspended one after the other, and some are killed, whichever issues the
@@ -206,7 +206,7 @@
     let mut instances = instances(&site, 4).await;
     let announced_at = Instant::now();
     for app in &site.apps {
-        app.name_limit(Some(LIMIT));
+        app.announce_limit(Some(LIMIT));
     }
     let callers: Vec<Caller> = instances.iter().map(Instance::caller).collect();
     let calls = tokio::spawn(async move {
@@ -250,17 +250,17 @@
         let found = endpoints.values().find(matches).cloned();
         found.and_then(|one| one["limit_per_s"].as_f64())
     };
-    app.name_limit(Some(LIMIT));
+    app.announce_limit(Some(LIMIT));
     for instance in &instances {
-        until("known", async || {
+        wait_until("known", async || {
             instances[0].call("/calls/a", "any").await;
             limit_at(instance).await == Some(LIMIT_PER_S)
         })
         .await;
     }
-    app.name_limit(None);
+    app.announce_limit(None);
     for instance in &instances {
-        until("known to have ended", async || {
+        wait_until("known to have ended", async || {
             instances[0].call("/calls/a", "any").await;
             limit_at(instance).await.is_none()
         })
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -5,7 +5,8 @@
 
 use serde_json::{Value, json};
 use support::{
-    Process, Site, complete, dump, get, objects, tool, until, until_peers, until_serving,
+    Process, Site, complete, config_objects, debug_state, get_json, run_tool, wait_for_peers,
+    wait_until, wait_until_serving,
 };
 
 fn hall_object(name: &str, region: &str) -> Value {
@@ -14,12 +15,12 @@
 
 /// Returns the region of a hall in the configuration that an instance has in force.
 async fn region_in_force(instance: &Process, name: &str) -> Value {
-    let config = get(format!("http://{}/config", instance.address("operator"))).await;
+    let config = get_json(format!("http://{}/config", instance.address("operator"))).await;
     config["objects"][format!("hall/{name}")]["object"]["region"].clone()
 }
 
 async fn wait_for_region(instance: &Process, name: &str, expected: &str) {
-    until("the configuration is in force", || async {
+    wait_until("the configuration is in force", || async {
         region_in_force(instance, name).await == expected
     })
     .await;
@@ -29,18 +30,18 @@
 async fn concurrent_publishers_all_instances_agree_on_one() {
     let site = Site::new();
     let instances = [
-        site.instance("i1", "h"),
-        site.instance("i2", "h"),
-        site.instance("i3", "h"),
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+        site.start_instance("i3", "h"),
     ];
     for instance in &instances {
-        until_peers(instance, 2).await;
+        wait_for_peers(instance, 2).await;
     }
     let platform = site.platform.address("address");
     let files: Vec<String> = (0..6)
         .map(|operator| {
             let objects = json!({"objects": [hall_object("raced", &format!("r{operator}"))]});
-            let path = site.write(&format!("race-{operator}.jsonc"), &objects.to_string());
+            let path = site.write_file(&format!("race-{operator}.jsonc"), &objects.to_string());
             path.to_str().expect("path").to_owned()
         })
         .collect();
@@ -48,7 +49,9 @@
         .into_iter()
         .map(|file| {
             let platform = platform.clone();
-            std::thread::spawn(move || tool(&["publish", "--json", "--platform", &platform, &file]))
+            std::thread::spawn(move || {
+                run_tool(&["publish", "--json", "--platform", &platform, &file])
+            })
         })
         .collect();
     let outputs: Vec<_> = publishers
@@ -64,11 +67,11 @@
     let configs = || async {
         let mut states = Vec::new();
         for instance in &instances {
-            states.push(get(format!("http://{}/config", instance.address("operator"))).await);
+            states.push(get_json(format!("http://{}/config", instance.address("operator"))).await);
         }
         states
     };
-    until("all instances agree", || async {
+    wait_until("all instances agree", || async {
         let states = configs().await;
         states.iter().all(|state| {
             state["objects"] == states[0]["objects"] && state["objects"]["hall/raced"].is_object()
@@ -80,8 +83,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_reply_lost_outcome_determined_from_log() {
     let site = Site::new();
-    let instance = site.instance("i1", "h");
-    site.platform_faults(&json!({"lose_replies": 1})).await;
+    let instance = site.start_instance("i1", "h");
+    site.set_platform_faults(&json!({"lose_replies": 1})).await;
     let published = site.publish(&json!([hall_object("a", "one")]));
     assert_eq!(published.status.code(), Some(0), "{published:?}");
     wait_for_region(&instance, "a", "one").await;
@@ -95,10 +98,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_outage_and_invalid_objects_exit_codes() {
     let site = Site::new();
-    site.platform_faults(&json!({"outage": true})).await;
+    site.set_platform_faults(&json!({"outage": true})).await;
     let refused = site.publish(&json!([hall_object("a", "one")]));
     assert_eq!(refused.status.code(), Some(4), "{refused:?}");
-    site.platform_faults(&json!({})).await;
+    site.set_platform_faults(&json!({})).await;
     let invalid = site.publish(&json!([{"kind": "hall", "name": "b", "region": ""}]));
     assert_eq!(invalid.status.code(), Some(1), "{invalid:?}");
     let text = String::from_utf8_lossy(&invalid.stderr).into_owned();
@@ -116,28 +119,31 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn log_outage_new_instances_fetch_state_from_peers_and_serve() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let mut instances = vec![site.instance("i1", "h"), site.instance("i2", "h")];
+    let mut instances = vec![
+        site.start_instance("i1", "h"),
+        site.start_instance("i2", "h"),
+    ];
     for instance in &instances {
-        until_peers(instance, 1).await;
-        until_serving(instance).await;
+        wait_for_peers(instance, 1).await;
+        wait_until_serving(instance).await;
     }
     // New instances find their peers through the platform's list, or through peers that read it
     // before.
-    site.platform_faults(&json!({"log_outage": true})).await;
+    site.set_platform_faults(&json!({"log_outage": true})).await;
     for (index, replaced) in instances.iter_mut().enumerate() {
-        let new_instance = site.instance(&format!("j{index}"), "h");
+        let new_instance = site.start_instance(&format!("j{index}"), "h");
         wait_for_region(&new_instance, "h", "test").await;
-        until_serving(&new_instance).await;
+        wait_until_serving(&new_instance).await;
         replaced.kill();
         *replaced = new_instance;
     }
-    site.platform_faults(&json!({})).await;
+    site.set_platform_faults(&json!({})).await;
     assert!(
         site.publish(&json!([hall_object("later", "two")]))
             .status
@@ -153,8 +159,9 @@
 async fn log_records_expired_all_instances_replaced_configuration_kept() {
     let mut site = Site::new();
     site.times["log_retention_ms"] = json!(4000);
-    site.platform_faults(&json!({"retention_ms": 4000})).await;
-    let first = site.instance("i1", "h");
+    site.set_platform_faults(&json!({"retention_ms": 4000}))
+        .await;
+    let first = site.start_instance("i1", "h");
     assert!(
         site.publish(&json!([hall_object("kept", "one")]))
             .status
@@ -164,35 +171,38 @@
     let mut current = first;
     for index in 0..3 {
         // Wait until every record that the current instance has applied so far has expired.
-        let before = dump(&current).await["config"]["next_offset"]
+        let before = debug_state(&current).await["config"]["next_offset"]
             .as_u64()
             .expect("offset");
         let url = format!(
             "http://{}/log/config?from=0",
             site.platform.address("address")
         );
-        until("the records have expired", || async {
-            get(url.clone()).await["first_kept"].as_u64() > Some(before)
+        wait_until("the records have expired", || async {
+            get_json(url.clone()).await["first_kept"].as_u64() > Some(before)
         })
         .await;
-        let new_instance = site.instance(&format!("j{index}"), "h");
+        let new_instance = site.start_instance(&format!("j{index}"), "h");
         wait_for_region(&new_instance, "kept", "one").await;
         current = new_instance;
     }
-    assert_eq!(dump(&current).await["config"]["snapshot_disagreements"], 0);
+    assert_eq!(
+        debug_state(&current).await["config"]["snapshot_disagreements"],
+        0
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_suspended_instance_serves_and_catches_up() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
     assert!(
-        site.publish(&objects("h", &[("e1", &engine)], &[]))
+        site.publish(&config_objects("h", &[("e1", &engine)], &[]))
             .status
             .success()
     );
-    let instance = site.instance("i1", "h");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "h");
+    wait_until_serving(&instance).await;
     site.platform.signal(nix::sys::signal::Signal::SIGSTOP);
     for _ in 0..20 {
         assert_eq!(
@@ -216,27 +226,27 @@
     let mut site = Site::new();
     // Snapshots are due every quarter of this period. Which records expire is set below.
     site.times["log_retention_ms"] = json!(1000);
-    let mut last_instance = site.instance("i1", "h");
+    let mut last_instance = site.start_instance("i1", "h");
     assert!(
         site.publish(&json!([hall_object("kept", "one")]))
             .status
             .success()
     );
     wait_for_region(&last_instance, "kept", "one").await;
-    let published = dump(&last_instance).await["config"]["next_offset"]
+    let published = debug_state(&last_instance).await["config"]["next_offset"]
         .as_u64()
         .expect("offset");
-    until("a snapshot covers the published configuration", || async {
-        let snapshot = dump(&last_instance).await["config"]["snapshot_next_offset"].as_u64();
+    wait_until("a snapshot covers the published configuration", || async {
+        let snapshot = debug_state(&last_instance).await["config"]["snapshot_next_offset"].as_u64();
         snapshot >= Some(published)
     })
     .await;
     last_instance.kill();
-    site.platform_faults(&json!({"expire_before": published}))
+    site.set_platform_faults(&json!({"expire_before": published}))
         .await;
-    let new_instance = site.instance("j1", "h");
+    let new_instance = site.start_instance("j1", "h");
     wait_for_region(&new_instance, "kept", "one").await;
-    let shown = tool(&[
+    let shown = run_tool(&[
         "config",
         "show",
         "--platform",
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -3,15 +3,15 @@
 mod support;
 
 use serde_json::json;
-use support::{Site, complete, objects, until_serving};
+use support::{Site, complete, config_objects, wait_until_serving};
 
 /// Guards against a placement that fails while a group still has capacity: with a limit of three
 /// groups per request, halls without a live endpoint can use up all attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn placement_dead_halls_live_group_reached() {
     let site = Site::new();
-    let engine = site.engine("e1", &json!({"step_us": 1000}));
-    let mut published = objects("live", &[("e1", &engine)], &[]);
+    let engine = site.start_engine("e1", &json!({"step_us": 1000}));
+    let mut published = config_objects("live", &[("e1", &engine)], &[]);
     for index in 0..8 {
         let hall = format!("dead-{index}");
         let list = published.as_array_mut().expect("list");
@@ -21,8 +21,8 @@
             "type": "engine", "kv_capacity_tokens": 1000, "checks_fence": true}));
     }
     assert!(site.publish(&published).status.success());
-    let instance = site.instance("i1", "dead-0");
-    until_serving(&instance).await;
+    let instance = site.start_instance("i1", "dead-0");
+    wait_until_serving(&instance).await;
     for _ in 0..20 {
         let response = complete(&instance.address("caller"), &json!({"max_tokens": 1})).await;
         assert_eq!(response.status, 200, "{response:?}");
@@ -36,7 +36,7 @@
 fn start_rocket_line_before_addresses() {
     let site = Site::new();
     let processes: Vec<_> = (0..24)
-        .map(|index| site.service(&format!("s{index}")))
+        .map(|index| site.start_service(&format!("s{index}")))
         .collect();
     for process in &processes {
         assert!(process.addresses["address"].is_string());
--- a/tests/site_endpoints.rs
+++ b/tests/site_endpoints.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use larkwick::standin::site::server::{Server, ServerFault, ServerKind};
-use larkwick::standin::site::store::StoreMood;
+use larkwick::standin::site::store::StoreFault;
 use serde_json::json;
-use support::site::{Instance, RoutedSite, answered, until};
+use support::site::{Instance, RoutedSite, send_request, wait_until};
 
 /// Number of calls that reveal which endpoints are used. With two usable endpoints, the probability
 /// that all calls reach the same one is below one in a billion.
@@ -18,13 +18,14 @@
 async fn two_halls() -> (RoutedSite, Arc<Server>, Arc<Server>) {
     let site = RoutedSite::start(2).await;
     let (first, second) = (site.apps[0].clone(), site.apps[1].clone());
-    site.standin.list_with(&second, &json!({"zone": "hall-2"}));
+    site.standin
+        .list_server_with(&second, &json!({"zone": "hall-2"}));
     (site, first, second)
 }
 
 async fn wait_for_availability(instance: &Instance, server: &Server, expected: &str) {
-    until(expected, async || {
-        instance.standing(server).await == expected
+    wait_until(expected, async || {
+        instance.endpoint_availability(server).await == expected
     })
     .await;
 }
@@ -35,7 +36,7 @@
     for number in 0..CALLS {
         let id = format!("{name}-{number}");
         assert_eq!(instance.call("/once/a", &id).await.status, 200);
-        ran.extend(site.standin.runs_of(&id));
+        ran.extend(site.standin.servers_that_ran(&id));
     }
     ran.sort();
     ran.dedup();
@@ -45,12 +46,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_gets_no_calls_until_restored() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
+    let instance = site.start_instance("n1").await;
+    site.standin.evacuate_hall("hall-1");
     wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
-    site.standin.take_back("hall-1");
+    site.standin.restore_hall("hall-1");
     wait_for_availability(&instance, &first, "ready").await;
     assert_eq!(called_endpoints(&site, &instance, "back").await.len(), 2);
 }
@@ -58,9 +59,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_record_unreadable_still_evacuates_it() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     let store = &site.standin.store;
-    store.put_bytes("keyed.op", "evacuate/hall-1", b"\xff{");
+    store.put_raw("keyed.op", "evacuate/hall-1", b"\xff{");
     wait_for_availability(&instance, &first, "evacuated").await;
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &instance, "emptied").await, only);
@@ -69,27 +70,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_all_halls_calls_refused_immediately() {
     let (site, first, second) = two_halls().await;
-    let instance = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
-    site.standin.evacuate("hall-2");
+    let instance = site.start_instance("n1").await;
+    site.standin.evacuate_hall("hall-1");
+    site.standin.evacuate_hall("hall-2");
     wait_for_availability(&instance, &first, "evacuated").await;
     wait_for_availability(&instance, &second, "evacuated").await;
     let answer = instance.call("/once/a", "all").await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    assert!(site.standin.runs_of("all").is_empty());
+    assert!(site.standin.servers_that_ran("all").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_known_after_start_during_store_outage() {
     let (site, first, second) = two_halls().await;
-    let known = site.instance("n1").await;
-    site.standin.evacuate("hall-1");
+    let known = site.start_instance("n1").await;
+    site.standin.evacuate_hall("hall-1");
     wait_for_availability(&known, &first, "evacuated").await;
-    site.standin.store.set_mood(StoreMood::Busy);
-    let started = site.instance_with_seeds("n2", &[&known]);
-    started.until_ready().await;
-    assert_eq!(started.standing(&first).await, "evacuated");
+    site.standin.store.set_fault(StoreFault::Busy);
+    let started = site.start_instance_with_peers("n2", &[&known]);
+    started.wait_until_ready().await;
+    assert_eq!(started.endpoint_availability(&first).await, "evacuated");
     let only = [second.id.clone()];
     assert_eq!(called_endpoints(&site, &started, "started").await, only);
 }
@@ -101,22 +102,22 @@
     let app = site.apps[0].clone();
     let list = |state: &str, born: u64| {
         let fields = json!({"state": state, "born": born});
-        site.standin.list_with(&app, &fields);
+        site.standin.list_server_with(&app, &fields);
     };
     list("ready", 1_000);
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     list("draining", 1_000);
     wait_for_availability(&instance, &app, "leaving").await;
     // Draining is final within an incarnation.
     list("ready", 1_000);
     list("ready", 2_000);
-    until("calls served again", async || {
+    wait_until("calls served again", async || {
         instance.call("/once/a", "a").await.status == 200
     })
     .await;
     // A late entry of the earlier incarnation changes nothing.
     list("draining", 1_000);
-    let other = site.standin.server("app", ServerKind::Plain).await;
+    let other = site.standin.start_server("app", ServerKind::Plain).await;
     let other = other.expect("server starts");
     wait_for_availability(&instance, &other, "ready").await;
     assert_eq!(called_endpoints(&site, &instance, "late").await.len(), 2);
@@ -136,15 +137,18 @@
         json!({"cold-left-ms": []}),
     ];
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for fields in malformed {
-        let server = site.standin.server_unlisted("app", ServerKind::Plain).await;
+        let server = site
+            .standin
+            .start_unlisted_server("app", ServerKind::Plain)
+            .await;
         let server = server.expect("server starts");
-        site.standin.list_with(&server, &fields);
+        site.standin.list_server_with(&server, &fields);
     }
     let store = &site.standin.store;
-    store.put_bytes("keyed.servers", "i-garbled", b"\x00\xff\xfe");
-    let last = site.standin.server("app", ServerKind::Plain).await;
+    store.put_raw("keyed.servers", "i-garbled", b"\x00\xff\xfe");
+    let last = site.standin.start_server("app", ServerKind::Plain).await;
     let last = last.expect("server starts");
     wait_for_availability(&instance, &last, "ready").await;
     let mut expected = vec![site.apps[0].id.clone(), last.id.clone()];
@@ -154,7 +158,7 @@
         expected
     );
     // An instance that reads the full list treats the entries in the same way.
-    let second = site.instance("n2").await;
+    let second = site.start_instance("n2").await;
     wait_for_availability(&second, &last, "ready").await;
     assert_eq!(called_endpoints(&site, &second, "whole").await, expected);
 }
@@ -162,22 +166,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operator_key_unknown_logged_once() {
     let site = RoutedSite::start(1).await;
-    let instance = site.instance("n1").await;
+    let instance = site.start_instance("n1").await;
     for _ in 0..3 {
         site.standin
             .store
             .put("keyed.op", "something/new", &json!({}));
     }
-    until("unknown key logged", async || {
-        instance.has_line("unknown on the platform")
+    wait_until("unknown key logged", async || {
+        instance.has_log_line("unknown on the platform")
     })
     .await;
     site.standin.publish(9, &[larkwick::standin::site::KEY]);
-    until("later record read", async || {
+    wait_until("later record read", async || {
         instance.state().await["config_version"] == 9
     })
     .await;
-    let lines = instance.lines.lock().expect("lines").clone();
+    let lines = instance.log_lines.lock().expect("lines").clone();
     let unknown = lines.iter().filter(|line| {
         line["payload"] == "unknown on the platform" && line["kv"]["name"] == "something/new"
     });
@@ -190,16 +194,20 @@
 async fn endpoint_cold_gets_no_more_than_sustainable_rate() {
     const SUSTAINABLE_PER_S: f64 = 4.0;
     let site = RoutedSite::start(0).await;
-    site.standin.publish_cold(3, 60.0, SUSTAINABLE_PER_S);
-    let cold = site.standin.server_unlisted("app", ServerKind::Plain).await;
+    site.standin
+        .publish_with_cold_start(3, 60.0, SUSTAINABLE_PER_S);
+    let cold = site
+        .standin
+        .start_unlisted_server("app", ServerKind::Plain)
+        .await;
     let cold = cold.expect("server starts");
     site.standin
-        .list_with(&cold, &json!({"cold-left-ms": 60_000}));
-    let instance = site.instance("n1").await;
+        .list_server_with(&cold, &json!({"cold-left-ms": 60_000}));
+    let instance = site.start_instance("n1").await;
     let started_at = std::time::Instant::now();
     let calls = (0..50).map(|number| {
         let request = instance.request("/once/a", &format!("cold-{number}"));
-        tokio::spawn(answered(request))
+        tokio::spawn(send_request(request))
     });
     let calls: Vec<_> = calls.collect();
     let mut served = 0_u32;
@@ -225,24 +233,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_replaced_at_its_address_called_at_most_once() {
     let site = RoutedSite::start(0).await;
-    let engine = site.engine().await;
+    let engine = site.start_engine().await;
     let replaced = site
         .standin
-        .server_unlisted("llm", larkwick::standin::site::server::ServerKind::Engine);
+        .start_unlisted_server("llm", larkwick::standin::site::server::ServerKind::Engine);
     let replaced = replaced.await.expect("server starts");
     replaced.set_fault(ServerFault::Misdirects);
-    site.standin.list(&replaced, "ready");
-    let instance = site.instance("n1").await;
+    site.standin.list_server(&replaced, "ready");
+    let instance = site.start_instance("n1").await;
     wait_for_availability(&instance, &replaced, "ready").await;
     for number in 0..8 {
-        let answer = answered(instance.generation(2, &format!("g{number}"))).await;
+        let answer = send_request(instance.generation(2, &format!("g{number}"))).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(engine.requests(), 8);
+    assert_eq!(engine.request_count(), 8);
     assert!(
-        replaced.requests() <= 1,
+        replaced.request_count() <= 1,
         "{} requests to the replaced engine",
-        replaced.requests()
+        replaced.request_count()
     );
 }
