--- a/benches/crashing.rs
+++ b/benches/crashing.rs
@@ -142,7 +142,7 @@
             memory_tokens: 34_000,
             leaving: false,
             closed: false,
-            moves: false,
+            supports_migration: false,
             cold: None,
             limit: None,
         });
@@ -222,8 +222,8 @@
         let demand = RunDemand {
             run: name.clone(),
             prompt_tokens: arrival.prompt_tokens,
-            made_max_tokens: 600,
-            made_hint_tokens: Some(arrival.runs_for.as_secs_f64() * TOKENS_PER_S),
+            generated_max_tokens: 600,
+            generated_hint_tokens: Some(arrival.runs_for.as_secs_f64() * TOKENS_PER_S),
             priority: 1,
         };
         let granted = self.ledger.place(&demand, "n1", &excluded, self.now);
@@ -349,11 +349,11 @@
                 clippy::cast_sign_loss,
                 reason = "a few hundred tokens"
             )]
-            let made_tokens = (made_s.as_secs_f64() * TOKENS_PER_S) as u32;
+            let generated_tokens = (made_s.as_secs_f64() * TOKENS_PER_S) as u32;
             ReportedRun {
                 demand: run.demand.clone(),
                 endpoint: run.engine.clone(),
-                made_tokens,
+                generated_tokens,
             }
         });
         let runs = runs.collect();
--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -218,7 +218,7 @@
             // on which two halls are evacuated and 0.010 (+-0.005) on one with a loss of all
             // instances, four paired seeds each.
             closed: !fleet.can_accept_work(&entry.id),
-            moves: engine_shape.supports_migration,
+            supports_migration: engine_shape.supports_migration,
             cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
                 share_per_s: cold_start.share_per_s(sender),
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -75,10 +75,10 @@
     RunDemand {
         run: call.head.request_id.clone(),
         prompt_tokens: tokens.map_or(DEFAULT_PROMPT_TOKENS, |tokens| tokens.prompt_tokens),
-        made_max_tokens: tokens.map_or(DEFAULT_GENERATED_TOKENS, |tokens| {
+        generated_max_tokens: tokens.map_or(DEFAULT_GENERATED_TOKENS, |tokens| {
             tokens.generated_max_tokens
         }),
-        made_hint_tokens: tokens.and_then(|tokens| tokens.generated_hint_tokens),
+        generated_hint_tokens: tokens.and_then(|tokens| tokens.generated_hint_tokens),
         priority: u32::from(call.priority),
     }
 }
@@ -414,7 +414,7 @@
         info!("generation placed", kv: {
             request_id = demand.run.as_str(), endpoint = granted,
             prompt_tokens: = demand.prompt_tokens,
-            made_hint:? = demand.made_hint_tokens, waited_ms: = millis(call.age()),
+            made_hint:? = demand.generated_hint_tokens, waited_ms: = millis(call.age()),
         });
     }
 }
--- a/src/gateway/runs.rs
+++ b/src/gateway/runs.rs
@@ -53,7 +53,7 @@
         ReportedRun {
             demand: self.demand.clone(),
             endpoint: self.endpoint.lock().id.clone(),
-            made_tokens: self.generated_tokens.load(Ordering::Relaxed),
+            generated_tokens: self.generated_tokens.load(Ordering::Relaxed),
         }
     }
 }
--- a/src/kernel/endpoint_entry.rs
+++ b/src/kernel/endpoint_entry.rs
@@ -9,9 +9,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
     /// Identifies this incarnation only: ledgers, health, connections and orders are keyed by it,
-    /// and nothing known about an earlier incarnation applies. Always created by [`start_id`].
+    /// and nothing known about an earlier incarnation applies. Always created by
+    /// [`incarnation_id`].
     pub id: String,
-    /// Name under which the endpoint is listed and answers. A restart may reuse it.
+    /// Name under which the endpoint is listed and by which it identifies itself. A restart may
+    /// reuse it.
     pub listed_id: String,
     /// Start time in milliseconds since 1970 by the endpoint's own clock; `None` if not reported.
     pub born_ms: Option<u64>,
@@ -23,18 +25,18 @@
     pub hall: String,
     /// Number of calls that it processes concurrently.
     pub slots: u32,
-    /// Whether it announced that it is leaving.
+    /// Whether it announced that it is draining, or another incarnation has replaced it; final.
     pub leaving: bool,
     /// Version of its software; empty if not reported.
     #[serde(default)]
     pub software: String,
-    /// Remaining warm-up time that it announced at its start.
+    /// Remaining warm-up time that it announced.
     pub cold_left: Duration,
 }
 
 /// Returns the id of one incarnation of an endpoint: its listed id, and its start time if reported.
 #[must_use]
-pub fn start_id(listed_id: &str, born_ms: Option<u64>) -> String {
+pub fn incarnation_id(listed_id: &str, born_ms: Option<u64>) -> String {
     match born_ms {
         Some(born_ms) => format!("{listed_id}@{born_ms}"),
         None => listed_id.to_owned(),
@@ -68,7 +70,7 @@
     }
 
     /// Records that the newest entry of a listed id cannot be read. Earlier entries are kept,
-    /// because an announcement that the endpoint is leaving is final.
+    /// because an announcement that the endpoint is draining is final.
     pub fn add_unreadable(&mut self, listed_id: String) {
         self.clear_absence(&listed_id);
         self.unreadable.push(listed_id);
--- a/src/kernel/engine_ledger.rs
+++ b/src/kernel/engine_ledger.rs
@@ -37,9 +37,9 @@
 /// An entry instance that has not reported for this long is considered gone, along with its
 /// connections.
 const ENTRY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Weight of an engine's unread prompt tokens, as a share of its memory, when engines are compared.
-/// It spreads new generations over the engines.
-const UNREAD_PROMPT_WEIGHT: f64 = 1.5;
+/// Weight of an engine's prompt tokens that are not prefilled yet, as a share of its memory, when
+/// engines are compared. It spreads new generations over the engines.
+const PREFILL_BACKLOG_WEIGHT: f64 = 1.5;
 /// A failed move is retried after this delay.
 pub(super) const MOVE_RETRY_DELAY: Duration = Duration::from_millis(120);
 /// An engine that refused a generation gets no new ones for this time.
@@ -97,9 +97,11 @@
     /// Tokens, including those predicted to be generated within the horizon.
     pub(super) tokens: f64,
     /// Prompt tokens that have not been prefilled yet.
-    unread_tokens: f64,
-    /// Generations, including incoming ones.
-    pub(super) places: u32,
+    #[serde(rename = "unread_tokens")]
+    prefill_backlog_tokens: f64,
+    /// Slots taken by generations, including incoming ones.
+    #[serde(rename = "places")]
+    pub(super) used_slots: u32,
 }
 
 /// An instance that reports generations.
@@ -171,16 +173,16 @@
         fill_max: f64,
     ) -> Option<f64> {
         let fill = (self.usage.tokens + run.predicted_tokens()) / f64::from(listed.memory_tokens);
-        (self.usage.places < listed.slots && fill <= fill_max).then_some(fill)
+        (self.usage.used_slots < listed.slots && fill <= fill_max).then_some(fill)
     }
 }
 
 impl EngineUsage {
     fn add(&mut self, run: &ReportedRun, runs_here: bool) {
         self.tokens += run.predicted_tokens();
-        self.places += 1;
-        if runs_here && run.made_tokens == 0 {
-            self.unread_tokens += f64::from(run.demand.prompt_tokens);
+        self.used_slots += 1;
+        if runs_here && run.generated_tokens == 0 {
+            self.prefill_backlog_tokens += f64::from(run.demand.prompt_tokens);
         }
     }
 }
@@ -367,7 +369,7 @@
         let new = ReportedRun {
             demand: demand.clone(),
             endpoint: String::new(),
-            made_tokens: 0,
+            generated_tokens: 0,
         };
         let fill_max = if demand.ends_within_horizon() {
             MOVED_RUN_FILL_MAX
@@ -383,14 +385,15 @@
             if !self.can_accept_request(listed, entry, now) {
                 return None;
             }
-            let unread = engine.usage.unread_tokens / f64::from(listed.memory_tokens);
-            let score = engine.comparison_score(fill) + UNREAD_PROMPT_WEIGHT * unread;
+            let prefill_backlog =
+                engine.usage.prefill_backlog_tokens / f64::from(listed.memory_tokens);
+            let score = engine.comparison_score(fill) + PREFILL_BACKLOG_WEIGHT * prefill_backlog;
             // An engine in cooldown for another entry instance is likely to refuse this one too, so
             // it is the last choice. Simulated with `cargo bench --bench resting`, 40 seeds: with
             // twelve engines of which four refuse nine requests in ten, 0 of 100 generations are
             // lost instead of 10.7 at 20 generations a second, and 13.5 instead of 26.3 at 36 a
             // second with 60 instances. Where these engines refuse three in ten and the load is
-            // just what all engines can hold, the rule costs: 3.2 instead of 0.7.
+            // just what all engines can hold, the rule makes it worse: 3.2 lost instead of 0.7.
             Some((
                 self.cooling_down_engines.contains(&listed.id),
                 score,
@@ -557,7 +560,7 @@
         let engines = self.engines.iter().filter_map(|(id, engine)| {
             let listed = engine.listed.as_ref()?;
             let summary = EngineSummary {
-                places: engine.usage.places,
+                used_slots: engine.usage.used_slots,
                 predicted_tokens: engine.usage.tokens,
                 memory_tokens: listed.memory_tokens,
                 leaving: listed.leaving,
@@ -586,8 +589,9 @@
 /// An engine in the debug dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct EngineSummary {
-    /// Generations on it, including incoming ones.
-    pub places: u32,
+    /// Slots taken by generations, including incoming ones.
+    #[serde(rename = "places")]
+    pub used_slots: u32,
     /// Memory predicted to be used within the horizon.
     pub predicted_tokens: f64,
     /// Total memory.
--- a/src/kernel/engine_moves.rs
+++ b/src/kernel/engine_moves.rs
@@ -50,7 +50,7 @@
         let running = engines.filter(|engine| !engine.runs.is_empty());
         let listed = running.filter_map(|engine| engine.listed.as_ref());
         listed
-            .filter(|engine| engine.leaving && engine.moves)
+            .filter(|engine| engine.leaving && engine.supports_migration)
             .cloned()
             .collect()
     }
@@ -109,7 +109,7 @@
         let movable = on_source.filter(|run| {
             run.moving_to.is_none()
                 && run.confirmed
-                && run.reported.made_tokens > 0
+                && run.reported.generated_tokens > 0
                 && now >= run.next_move_at
                 && self.can_accept_order(source, &run.entry, now)
         });
--- a/src/kernel/engine_run.rs
+++ b/src/kernel/engine_run.rs
@@ -29,9 +29,11 @@
     /// Prompt length in tokens.
     pub prompt_tokens: u32,
     /// Maximum number of output tokens.
-    pub made_max_tokens: u32,
+    #[serde(rename = "made_max_tokens")]
+    pub generated_max_tokens: u32,
     /// The caller's estimate of the number of output tokens.
-    pub made_hint_tokens: Option<f64>,
+    #[serde(rename = "made_hint_tokens")]
+    pub generated_hint_tokens: Option<f64>,
     /// Priority; 0 is served first.
     pub priority: u32,
 }
@@ -52,7 +54,8 @@
     /// Whether it accepts no new generations, although running ones may stay.
     pub closed: bool,
     /// Whether generations can be moved off it.
-    pub moves: bool,
+    #[serde(rename = "moves")]
+    pub supports_migration: bool,
     /// Rate limit while it is cold; `None` if it is warm or no limit is configured.
     pub cold: Option<ColdLimit>,
     /// Rate limit that it announced for all instances together, and this instance's share of it;
@@ -77,7 +80,8 @@
     /// Engine that runs it.
     pub endpoint: String,
     /// Tokens generated so far.
-    pub made_tokens: u32,
+    #[serde(rename = "made_tokens")]
+    pub generated_tokens: u32,
 }
 
 /// An order to an entry instance to move one of its generations.
@@ -116,10 +120,10 @@
 impl RunDemand {
     /// Returns the expected total number of output tokens.
     pub(super) fn expected_output_tokens(&self) -> f64 {
-        let max_tokens = f64::from(self.made_max_tokens.max(1));
+        let max_tokens = f64::from(self.generated_max_tokens.max(1));
         let prior = (max_tokens * OUTPUT_SHARE_DEFAULT).max(1.0);
         let hint = self
-            .made_hint_tokens
+            .generated_hint_tokens
             .unwrap_or(prior)
             .clamp(1.0, max_tokens);
         let blended = prior.ln() * (1.0 - HINT_WEIGHT) + hint.ln() * HINT_WEIGHT;
@@ -140,16 +144,19 @@
 impl ReportedRun {
     /// Returns the memory in use now, in tokens.
     pub(super) fn current_tokens(&self) -> f64 {
-        f64::from(self.demand.prompt_tokens) + f64::from(self.made_tokens)
+        f64::from(self.demand.prompt_tokens) + f64::from(self.generated_tokens)
     }
 
     /// Returns the expected number of tokens still to be generated, at most up to the maximum. It is
     /// at least a quarter of those generated so far, because hints are often too short.
     fn remaining_tokens(&self) -> f64 {
-        let made = f64::from(self.made_tokens);
-        let max_tokens = f64::from(self.demand.made_max_tokens);
-        let expected = self.demand.expected_output_tokens() - made;
-        expected.max(made * 0.25).min(max_tokens - made).max(0.0)
+        let generated = f64::from(self.generated_tokens);
+        let max_tokens = f64::from(self.demand.generated_max_tokens);
+        let expected = self.demand.expected_output_tokens() - generated;
+        expected
+            .max(generated * 0.25)
+            .min(max_tokens - generated)
+            .max(0.0)
     }
 
     /// Returns the predicted memory, in tokens, at the end of the horizon.
--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::crash_suspects::short_hash;
-pub use super::endpoint_entry::{EndpointEntry, ListUpdate, start_id};
+pub use super::endpoint_entry::{EndpointEntry, ListUpdate, incarnation_id};
 use super::evacuation::{ActiveEvacuations, EvacuatedHalls, HallChange, HallOrder};
 
 /// How long after an outage of the list a missing entry may reappear; the platform specifies two
@@ -18,10 +18,10 @@
 const UNLISTED_GRACE_MAX: Duration = Duration::from_millis(1_600);
 /// How long an endpoint that has left is remembered, so that its streams can still be found.
 const GONE_RETENTION: Duration = Duration::from_mins(1);
-/// How long each instance forwards the notice that an endpoint is draining, unless the list reports
+/// How long each instance gossips the notice that an endpoint is draining, unless the list reports
 /// it. This is several times the 3 s and 4 s after which all of 300 and of 2,300 members know such
 /// an update (simulated by `news_site_of_*` in the tests).
-const DRAIN_NOTICE_TTL: Duration = Duration::from_secs(15);
+const GOSSIP_FOR: Duration = Duration::from_secs(15);
 /// Maximum number of endpoints named in one heartbeat, eight bytes each, even if thousands drain
 /// while the list is unavailable. Successive heartbeats name different ones.
 pub const DRAIN_NOTICES_MAX: usize = 32;
@@ -166,7 +166,7 @@
         self.version
     }
 
-    /// Applies one order to evacuate a hall or to take it back, and returns the changes.
+    /// Applies one order to evacuate or restore a hall, and returns the changes.
     pub fn apply_hall_order(&mut self, order: &HallOrder, now: Duration) -> Vec<HallChange> {
         let changes = self.halls.apply_order(order, now);
         self.version += u64::from(!changes.is_empty());
@@ -203,12 +203,12 @@
     pub fn mark_hall_cold(
         &mut self,
         hall: &str,
-        warm_up: impl Fn(&str) -> Duration,
+        warm_up_time: impl Fn(&str) -> Duration,
         now: Duration,
     ) {
         let all = self.endpoints.values_mut();
         for known in all.filter(|known| known.entry.hall == hall) {
-            let until = now.saturating_add(warm_up(&known.entry.service));
+            let until = now.saturating_add(warm_up_time(&known.entry.service));
             known.cold_until = known.cold_until.max(until);
         }
         self.version += 1;
@@ -377,19 +377,19 @@
         was_usable.then(|| FleetChange::Left(known.entry.clone()))
     }
 
-    /// Returns the short names of endpoints that recently gave such a notice and that the list does
-    /// not report yet, to be sent to other members. If there are too many, `first` selects where to
-    /// start.
+    /// Returns the short names of endpoints that were recently reported as draining by another
+    /// source than the list, unless the list reports it now, for other members. `offset` selects
+    /// the first one if there are too many for one heartbeat.
     #[must_use]
-    pub fn drain_notices(&self, first: usize, now: Duration) -> Vec<u64> {
+    pub fn drain_notices(&self, offset: usize, now: Duration) -> Vec<u64> {
         let all = self.endpoints.values();
         let recent = all.filter(|known| {
             let noticed_at = known.drain_notice_at;
-            noticed_at.is_some_and(|at| now.saturating_sub(at) < DRAIN_NOTICE_TTL)
+            noticed_at.is_some_and(|at| now.saturating_sub(at) < GOSSIP_FOR)
         });
         let mut short_names: Vec<u64> = recent.map(|known| known.short_name).collect();
         let count = short_names.len().max(1);
-        short_names.rotate_left(first % count);
+        short_names.rotate_left(offset % count);
         short_names.truncate(DRAIN_NOTICES_MAX);
         short_names
     }
@@ -470,8 +470,8 @@
         known.is_usable() && self.halls.since(&known.entry.hall).is_none()
     }
 
-    /// Returns the availability of an endpoint including the state of its hall, and since when it
-    /// holds.
+    /// Returns the availability of an endpoint, taking the state of its hall into account, and the
+    /// time of its last change.
     fn effective_availability(&self, known: &EndpointState) -> (Availability, Duration) {
         match self.halls.since(&known.entry.hall) {
             Some(since) if known.is_usable() => (Availability::Evacuated, since.max(known.since)),
@@ -479,7 +479,7 @@
         }
     }
 
-    /// Returns the availability of an endpoint and for how long it has held.
+    /// Returns the availability of an endpoint and the time since it last changed.
     #[must_use]
     pub fn availability(&self, id: &str, now: Duration) -> Option<(Availability, Duration)> {
         let known = self.endpoints.get(id)?;
--- a/src/kernel/length_estimates.rs
+++ b/src/kernel/length_estimates.rs
@@ -121,14 +121,14 @@
         count_above + self.buckets[index].count * share_above
     }
 
-    /// Returns the probability that a generation that has produced `made_tokens` is still running
-    /// after each horizon; `None` if no generation that long has been observed.
+    /// Returns the probability that a generation that has produced `generated_tokens` is still
+    /// running after each horizon; `None` if no generation that long has been observed.
     #[must_use]
-    pub fn survival(&self, made_tokens: u32) -> Option<Survival> {
-        let running_count = if made_tokens == 0 {
+    pub fn survival(&self, generated_tokens: u32) -> Option<Survival> {
+        let running_count = if generated_tokens == 0 {
             self.count()
         } else {
-            self.count_longer_than(made_tokens)
+            self.count_longer_than(generated_tokens)
         };
         if running_count < 1.0 {
             return None;
@@ -137,7 +137,8 @@
             if horizon == 0 {
                 return 1.0;
             }
-            (self.count_longer_than(made_tokens.saturating_add(horizon)) / running_count).min(1.0)
+            (self.count_longer_than(generated_tokens.saturating_add(horizon)) / running_count)
+                .min(1.0)
         };
         Some(HORIZONS_TOKENS.map(survival_at))
     }
@@ -148,14 +149,14 @@
         self.sum_from[0].count
     }
 
-    /// Returns the number of tokens that a generation that has produced `made_tokens` is expected
-    /// to produce; `None` if no generation that long has been observed.
+    /// Returns the number of tokens that a generation that has produced `generated_tokens` is
+    /// expected to produce; `None` if no generation that long has been observed.
     #[must_use]
-    pub fn residual(&self, made_tokens: u32) -> Option<TokenStats> {
-        let start = if made_tokens == 0 {
+    pub fn residual(&self, generated_tokens: u32) -> Option<TokenStats> {
+        let start = if generated_tokens == 0 {
             0
         } else {
-            bucket_index(made_tokens)
+            bucket_index(generated_tokens)
         };
         let tail = self.sum_from[start];
         if tail.count < 1.0 {
@@ -163,7 +164,7 @@
         }
         let mean_length = tail.sum / tail.count;
         let variance = (tail.sum_squares / tail.count - mean_length * mean_length).max(0.0);
-        let mean_tokens = (mean_length - f64::from(made_tokens)).max(1.0);
+        let mean_tokens = (mean_length - f64::from(generated_tokens)).max(1.0);
         Some(TokenStats {
             mean_tokens,
             variance,
@@ -224,17 +225,19 @@
         &self,
         model: &str,
         account: &str,
-        made_tokens: u32,
+        generated_tokens: u32,
         max_tokens: u32,
     ) -> Survival {
         let own = self.account_table(model, account);
         let observed = own
-            .and_then(|table| table.survival(made_tokens))
-            .or_else(|| self.by_model.get(model)?.survival(made_tokens));
-        let mean = UNKNOWN_RESIDUAL.mean_tokens.max(f64::from(made_tokens));
+            .and_then(|table| table.survival(generated_tokens))
+            .or_else(|| self.by_model.get(model)?.survival(generated_tokens));
+        let mean = UNKNOWN_RESIDUAL
+            .mean_tokens
+            .max(f64::from(generated_tokens));
         let unobserved = || HORIZONS_TOKENS.map(|horizon| (-f64::from(horizon) / mean).exp());
         let mut survival = observed.unwrap_or_else(unobserved);
-        let left_tokens = max_tokens.saturating_sub(made_tokens);
+        let left_tokens = max_tokens.saturating_sub(generated_tokens);
         for (probability, horizon) in survival.iter_mut().zip(HORIZONS_TOKENS) {
             if horizon > left_tokens {
                 *probability = 0.0;
@@ -249,19 +252,21 @@
         &self,
         model: &str,
         account: &str,
-        made_tokens: u32,
+        generated_tokens: u32,
         max_tokens: u32,
     ) -> TokenStats {
         let own = self.account_table(model, account);
         let observed = own
-            .and_then(|table| table.residual(made_tokens))
-            .or_else(|| self.by_model.get(model)?.residual(made_tokens));
+            .and_then(|table| table.residual(generated_tokens))
+            .or_else(|| self.by_model.get(model)?.residual(generated_tokens));
         // A stream longer than any observed one is expected to double.
         let unobserved = TokenStats {
-            mean_tokens: UNKNOWN_RESIDUAL.mean_tokens.max(f64::from(made_tokens)),
+            mean_tokens: UNKNOWN_RESIDUAL
+                .mean_tokens
+                .max(f64::from(generated_tokens)),
             variance: UNKNOWN_RESIDUAL.variance,
         };
-        let left_tokens = f64::from(max_tokens.saturating_sub(made_tokens));
+        let left_tokens = f64::from(max_tokens.saturating_sub(generated_tokens));
         let stats = observed.unwrap_or(unobserved);
         TokenStats {
             mean_tokens: stats.mean_tokens.min(left_tokens),
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -238,11 +238,11 @@
             clippy::cast_possible_truncation,
             reason = "a guess needs no more digits"
         )]
-        let made_hint_tokens = demand.made_hint_tokens.unwrap_or_default() as f32;
+        let made_hint_tokens = demand.generated_hint_tokens.unwrap_or_default() as f32;
         Self {
             run: demand.run.clone(),
             prompt_tokens: demand.prompt_tokens,
-            made_max_tokens: demand.made_max_tokens,
+            made_max_tokens: demand.generated_max_tokens,
             made_hint_tokens,
             priority: demand.priority,
         }
@@ -255,8 +255,8 @@
         Self {
             run: message.run,
             prompt_tokens: message.prompt_tokens,
-            made_max_tokens: message.made_max_tokens,
-            made_hint_tokens: (hint > 0.0).then_some(hint),
+            generated_max_tokens: message.made_max_tokens,
+            generated_hint_tokens: (hint > 0.0).then_some(hint),
             priority: message.priority,
         }
     }
@@ -267,7 +267,7 @@
         Self {
             demand: Some((&run.demand).into()),
             endpoint: run.endpoint.clone(),
-            made_tokens: run.made_tokens,
+            made_tokens: run.generated_tokens,
         }
     }
 }
@@ -279,7 +279,7 @@
         Ok(Self {
             demand: message.demand.ok_or(BadField("demand"))?.into(),
             endpoint: message.endpoint,
-            made_tokens: message.made_tokens,
+            generated_tokens: message.made_tokens,
         })
     }
 }
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Deserializer};
 
 use super::unknown;
-use crate::kernel::fleet::{EndpointEntry, start_id};
+use crate::kernel::fleet::{EndpointEntry, incarnation_id};
 
 /// Fields of an entry that nothing is made of: `seq` only counts an endpoint's heartbeats, whose silence the store itself notices, and which models it
 /// has is the operator's matter.
@@ -58,7 +58,7 @@
     let cold_left_ms = wire.cold_left_ms.unwrap_or_default().max(0.0);
     let cold_left = Duration::try_from_secs_f64(cold_left_ms / 1_000.0);
     Ok(EndpointEntry {
-        id: start_id(id, wire.born),
+        id: incarnation_id(id, wire.born),
         listed_id: id.to_owned(),
         born_ms: wire.born,
         service: wire.service,
--- a/tests/kernel/admission_queue.rs
+++ b/tests/kernel/admission_queue.rs
@@ -20,7 +20,7 @@
         closed: false,
         cold: None,
         limit: None,
-        moves: true,
+        supports_migration: true,
     }
 }
 
@@ -29,8 +29,8 @@
         demand: RunDemand {
             run: run.to_owned(),
             prompt_tokens,
-            made_max_tokens: 400,
-            made_hint_tokens: None,
+            generated_max_tokens: 400,
+            generated_hint_tokens: None,
             priority,
         },
         entry: "n".to_owned(),
@@ -54,7 +54,7 @@
         running.push(ReportedRun {
             demand,
             endpoint,
-            made_tokens: 40,
+            generated_tokens: 40,
         });
     }
     ledger.apply_report("n", running.clone(), ms(0));
@@ -153,7 +153,7 @@
             let reported = ReportedRun {
                 demand,
                 endpoint,
-                made_tokens: 40,
+                generated_tokens: 40,
             };
             running.push((now + RUN_DURATION, reported));
         };
@@ -237,8 +237,8 @@
     ledger.set_engines(vec![engine(0)]);
     let long = |run: &str, prompt_tokens| {
         let mut long = request(run, prompt_tokens, 1, ms(2_000));
-        long.demand.made_max_tokens = 4_000;
-        long.demand.made_hint_tokens = Some(4_000.0);
+        long.demand.generated_max_tokens = 4_000;
+        long.demand.generated_hint_tokens = Some(4_000.0);
         long
     };
     for prompt_tokens in [2_900, 100] {
@@ -250,7 +250,7 @@
         }
     }
     let mut short = request("short", 1_000, 1, ms(2_000));
-    short.demand.made_max_tokens = 10;
+    short.demand.generated_max_tokens = 10;
     let mut queue = AdmissionQueue::default();
     queued_ticket(&queue.request_admission(&mut ledger, long("long", 100), ms(0)));
     let ticket = queued_ticket(&queue.request_admission(&mut ledger, short, ms(0)));
@@ -304,15 +304,15 @@
         });
         let mut used_tokens: BTreeMap<&str, u32> = BTreeMap::new();
         for (started_at, run) in &mut running {
-            let made = now
+            let generated = now
                 .saturating_sub(*started_at)
                 .mul_f64(DECODE_TOKENS_PER_S)
                 .as_secs();
             if run.demand.priority == 1 {
-                run.made_tokens = u32::try_from(made).expect("fits u32");
+                run.generated_tokens = u32::try_from(generated).expect("fits u32");
             }
             *used_tokens.entry(&run.endpoint).or_default() +=
-                run.demand.prompt_tokens + run.made_tokens;
+                run.demand.prompt_tokens + run.generated_tokens;
         }
         outcome.over_capacity += used_tokens.values().filter(|used| **used > 21_900).count();
         let reported = running.iter().map(|(_, run)| run.clone()).collect();
@@ -336,7 +336,7 @@
                 priority,
                 now + ms(1_100),
             );
-            admission.demand.made_max_tokens = max_tokens;
+            admission.demand.generated_max_tokens = max_tokens;
             let demand = admission.demand.clone();
             match queue.request_admission(&mut ledger, admission, now) {
                 Admission::Granted(engine) => granted.push((engine, demand)),
@@ -356,7 +356,7 @@
             let reported = ReportedRun {
                 demand,
                 endpoint,
-                made_tokens: 0,
+                generated_tokens: 0,
             };
             running.push((now, reported));
         }
--- a/tests/kernel/engine_ledger.rs
+++ b/tests/kernel/engine_ledger.rs
@@ -21,7 +21,7 @@
         closed: false,
         cold: None,
         limit: None,
-        moves: true,
+        supports_migration: true,
     }
 }
 
@@ -29,17 +29,17 @@
     RunDemand {
         run: run.to_owned(),
         prompt_tokens,
-        made_max_tokens: 2_000,
-        made_hint_tokens: Some(800.0),
+        generated_max_tokens: 2_000,
+        generated_hint_tokens: Some(800.0),
         priority: 1,
     }
 }
 
-fn reported(run: &str, endpoint: &str, made_tokens: u32) -> ReportedRun {
+fn reported(run: &str, endpoint: &str, generated_tokens: u32) -> ReportedRun {
     ReportedRun {
         demand: demand(run, 3_000),
         endpoint: endpoint.to_owned(),
-        made_tokens,
+        generated_tokens,
     }
 }
 
@@ -75,7 +75,7 @@
     let granted = ledger.place(&demand("r", 3_000), "n", &[], NOW);
     let granted = granted.expect("an engine with capacity");
     for (id, engine) in ledger.summary() {
-        assert_eq!(engine.places, u32::from(id == granted), "{id}");
+        assert_eq!(engine.used_slots, u32::from(id == granted), "{id}");
     }
 }
 
@@ -262,10 +262,10 @@
         fresh.apply_report(entry, runs.clone(), now);
     }
     assert_eq!(ledger.run_count(), fresh.run_count());
-    for ((id, kept), (_, counted)) in ledger.summary().into_iter().zip(fresh.summary()) {
-        assert_eq!(kept.places, counted.places, "{id}");
+    for ((id, cached), (_, recomputed)) in ledger.summary().into_iter().zip(fresh.summary()) {
+        assert_eq!(cached.used_slots, recomputed.used_slots, "{id}");
         assert!(
-            (kept.predicted_tokens - counted.predicted_tokens).abs() < 1e-6,
+            (cached.predicted_tokens - recomputed.predicted_tokens).abs() < 1e-6,
             "{id}"
         );
     }
@@ -312,7 +312,7 @@
         count += 1;
     }
     let short = RunDemand {
-        made_max_tokens: 24,
+        generated_max_tokens: 24,
         ..demand("short", 1_200)
     };
     assert!(ledger.place(&short, "n", &[], Duration::ZERO).is_some());
@@ -320,9 +320,9 @@
 
 #[test]
 fn place_engine_cooling_down_for_another_entry_is_last_choice() {
-    let mut ledger = ledger(&[engine("asked", "h", false), engine("other", "h", false)]);
-    ledger.apply_report("turned-away", Vec::new(), NOW);
-    ledger.set_cooling_down("turned-away", ["asked".to_owned()].into());
+    let mut ledger = ledger(&[engine("cooling", "h", false), engine("other", "h", false)]);
+    ledger.apply_report("refused-entry", Vec::new(), NOW);
+    ledger.set_cooling_down("refused-entry", ["cooling".to_owned()].into());
     let place =
         |ledger: &mut EngineLedger, run: &str| ledger.place(&demand(run, 3_000), "n", &[], NOW);
     let first: Vec<String> = (0..10)
@@ -330,11 +330,11 @@
         .collect();
     assert!(first.iter().all(|engine| engine == "other"), "{first:?}");
     let granted = place(&mut ledger, "no capacity elsewhere");
-    assert_eq!(granted.as_deref(), Some("asked"));
+    assert_eq!(granted.as_deref(), Some("cooling"));
     // The entry instance no longer reports, so its cooldowns no longer count.
     let later = NOW + Duration::from_secs(3);
     ledger.expire(later);
-    assert_eq!(place(&mut ledger, "after").as_deref(), Some("asked"));
+    assert_eq!(place(&mut ledger, "after").as_deref(), Some("cooling"));
 }
 
 /// An engine in cooldown for the entry instance of a generation would refuse it, so the next best
@@ -346,10 +346,10 @@
         engine("near", "h", false),
         engine("far", "other", false),
     ];
-    for (entry, expected) in [("asked", "far"), ("not-asked", "near")] {
+    for (entry, expected) in [("refused-entry", "far"), ("other-entry", "near")] {
         let mut ledger = ledger(&engines);
         ledger.apply_report(entry, vec![reported("r", "leaves", 100)], NOW);
-        ledger.set_cooling_down("asked", ["near".to_owned()].into());
+        ledger.set_cooling_down("refused-entry", ["near".to_owned()].into());
         let orders = ledger.plan_moves(NOW);
         assert_eq!(orders[0].target, expected, "for {entry}");
     }
--- a/tests/kernel/fleet.rs
+++ b/tests/kernel/fleet.rs
@@ -6,7 +6,7 @@
 use larkwick::kernel::evacuation::HallOrder;
 use larkwick::kernel::fleet::{
     Availability, DRAIN_NOTICES_MAX, EndpointEntry, Fleet, FleetChange, ListUpdate, RELIST_TIMEOUT,
-    start_id,
+    incarnation_id,
 };
 use larkwick::kernel::position::Position;
 
@@ -30,7 +30,7 @@
 /// Returns an entry of an incarnation that reports its start time.
 fn started(id: &str, born_ms: u64, leaving: bool) -> EndpointEntry {
     EndpointEntry {
-        id: start_id(id, Some(born_ms)),
+        id: incarnation_id(id, Some(born_ms)),
         born_ms: Some(born_ms),
         ..entry(id, leaving)
     }
@@ -244,8 +244,8 @@
     assert_eq!(changes, [FleetChange::Left(entry("e1", false))]);
 }
 
-/// The announcement that an endpoint is leaving stays in force although its entry becomes
-/// unreadable a moment later.
+/// The announcement that an endpoint is draining stays in force although its entry becomes
+/// unreadable shortly afterwards.
 #[test]
 fn apply_update_leaving_then_unreadable_stays_final() {
     let mut fleet = fleet(2);
@@ -282,7 +282,7 @@
     assert!(!fleet.can_accept_work("e0"));
     // Its next incarnation is not affected.
     apply(&mut fleet, vec![started("e0", 7, false)], &[], later);
-    assert!(fleet.can_accept_work(&start_id("e0", Some(7))));
+    assert!(fleet.can_accept_work(&incarnation_id("e0", Some(7))));
 }
 
 #[test]
@@ -298,24 +298,24 @@
 
 #[test]
 fn drain_notices_forwarded_until_listed() {
-    let (mut here, mut there) = (fleet(3), fleet(3));
-    here.record_drain_notice("e1", NOW);
-    let notices = here.drain_notices(0, NOW);
-    assert_eq!(there.apply_drain_notices(&notices, NOW).len(), 1);
-    assert!(!there.can_accept_work("e1"));
+    let (mut sender, mut receiver) = (fleet(3), fleet(3));
+    sender.record_drain_notice("e1", NOW);
+    let notices = sender.drain_notices(0, NOW);
+    assert_eq!(receiver.apply_drain_notices(&notices, NOW).len(), 1);
+    assert!(!receiver.can_accept_work("e1"));
     assert!(
-        there.apply_drain_notices(&notices, NOW).is_empty(),
+        receiver.apply_drain_notices(&notices, NOW).is_empty(),
         "already known"
     );
-    assert_eq!(there.drain_notices(0, NOW), notices, "forwarded");
-    apply(&mut there, vec![entry("e1", true)], &[], NOW);
+    assert_eq!(receiver.drain_notices(0, NOW), notices, "forwarded");
+    apply(&mut receiver, vec![entry("e1", true)], &[], NOW);
     assert!(
-        there.drain_notices(0, NOW).is_empty(),
+        receiver.drain_notices(0, NOW).is_empty(),
         "the list reports it"
     );
     let later = NOW + Duration::from_mins(1);
     assert!(
-        here.drain_notices(0, later).is_empty(),
+        sender.drain_notices(0, later).is_empty(),
         "notice has expired"
     );
 }
@@ -330,8 +330,8 @@
         fleet.record_drain_notice(&format!("e{index}"), NOW);
     }
     let mut named = std::collections::BTreeSet::new();
-    for first in (0..count).step_by(DRAIN_NOTICES_MAX) {
-        let notices = fleet.drain_notices(first, NOW);
+    for offset in (0..count).step_by(DRAIN_NOTICES_MAX) {
+        let notices = fleet.drain_notices(offset, NOW);
         assert_eq!(notices.len(), DRAIN_NOTICES_MAX);
         named.extend(notices);
     }
