--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -416,7 +416,7 @@
         found.map(|(id, _)| id.clone())
     }
 
-    /// Applies time-outs: entries that were not listed again in time count as leaving, and
+    /// Applies timeouts: entries that were not listed again in time count as leaving, and
     /// endpoints that left long ago are forgotten.
     pub fn expire_entries(&mut self, now: Duration) -> Vec<FleetChange> {
         let mut changes = Vec::new();
--- a/tests/kernel/permits.rs
+++ b/tests/kernel/permits.rs
@@ -134,7 +134,7 @@
 
 const STEP: Duration = Duration::from_millis(20);
 const STEPS: u32 = 3_000;
-/// A member that has not been heard from for this long counts as unreachable, as in `membership`.
+/// A member without contact for this long counts as unreachable, as in `membership`.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The period over which users count requests.
 const PERIOD: Duration = Duration::from_secs(4);
--- a/tests/kernel/response_time.rs
+++ b/tests/kernel/response_time.rs
@@ -1,4 +1,4 @@
-//! Response-time estimates and the time-outs derived from them.
+//! Response-time estimates and the timeouts derived from them.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    /// The time-out is never below the typical response time, never above the mean plus four
+    /// The timeout is never below the typical response time, never above the mean plus four
     /// deviations, and grows with the time left of the objective.
     #[test]
     fn timeout_any_responses_within_bounds(
