--- a/src/platform/endpoint_entries.rs
+++ b/src/platform/endpoint_entries.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Deserializer};
 
 use super::unknown_names;
-use crate::kernel::fleet::{EndpointEntry, start_id};
+use crate::kernel::fleet::{EndpointEntry, incarnation_id};
 
 /// Fields that are ignored on purpose: `seq` only counts the heartbeats of an endpoint, and the
 /// store itself notices when they stop; which models an endpoint has is up to the operator.
@@ -60,7 +60,7 @@
     let cold_left_ms = wire.cold_left_ms.unwrap_or_default().max(0.0);
     let cold_left = Duration::try_from_secs_f64(cold_left_ms / 1_000.0);
     Ok(EndpointEntry {
-        id: start_id(id, wire.born),
+        id: incarnation_id(id, wire.born),
         listed_id: id.to_owned(),
         born_ms: wire.born,
         service: wire.service,
