--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -295,7 +295,7 @@
         heard,
         unreported,
         reported,
-        silent,
+        unreachable: silent,
     } = evidence;
     info!("members by evidence", kv: { heard:, unreported:, reported:, silent: });
     let counts = [
--- a/src/kernel/gossip.rs
+++ b/src/kernel/gossip.rs
@@ -2,9 +2,10 @@
 //!
 //! Each instance monitors its next few answering successors on a hash ring and skips those that do
 //! not answer. It reports a peer that does not answer in all heartbeats it sends, and any instance
-//! that hears the peer refutes the report. If two instances report a peer and none refutes it, the
-//! peer is confirmed unreachable and the new state is spread to all. An unreachable member that is
-//! in fact live learns of its state from the reply to its next heartbeat and refutes it.
+//! that receives heartbeats from the peer refutes the report. If two instances report a peer and
+//! none refutes it, the peer is confirmed unreachable and the new state is spread to all. An
+//! unreachable member that is in fact live learns of its state from the reply to its next heartbeat
+//! and refutes it.
 //!
 //! An instance sends at most [`MONITORED_PEERS_MAX`] + [`REPORTED_PROBES_MAX`] + [`DISTANT_PEERS`]
 //! heartbeats per round. Each one names at most [`HEARTBEAT_UPDATES_MAX`] + 1 + 2 x
@@ -18,7 +19,7 @@
 use super::member_states::HEARTBEAT_UPDATES_MAX;
 use super::member_states::MemberState;
 use super::membership::{
-    Incarnation, Members, PEER_HEARTBEAT_TIMEOUT, Peer, PeerStatus, heard_within,
+    Incarnation, Members, PEER_HEARTBEAT_TIMEOUT, Peer, PeerStatus, has_heartbeat_within,
     rendezvous_weight, ring_position,
 };
 use super::peer_monitor::REPORTED_PROBES_MAX;
@@ -33,11 +34,11 @@
 /// Time after which an instance selects other distant peers. Each distant peer needs a connection,
 /// so frequent changes would in time connect every instance to every other.
 pub const DISTANT_PEERS_ROTATION: Duration = Duration::from_secs(20);
-/// A monitored peer that was not heard for this long no longer counts as answering, and the
+/// A monitored peer without a heartbeat for this long no longer counts as answering, and the
 /// instance monitors one more successor: two heartbeats were missed.
-const SKIP_UNHEARD_AFTER: Duration = Duration::from_secs(1);
-/// A monitored peer that was not heard for this long is reported: four heartbeats were missed.
-const REPORT_UNHEARD_AFTER: Duration = Duration::from_secs(2);
+const SKIP_AFTER: Duration = Duration::from_secs(1);
+/// A monitored peer without a heartbeat for this long is reported: four heartbeats were missed.
+const REPORT_AFTER: Duration = Duration::from_secs(2);
 /// Interval at which an instance requests the full set of unreachable members from a peer. It may
 /// have missed an update that is no longer being sent and would otherwise never learn of it.
 pub const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(5);
@@ -50,7 +51,7 @@
 pub struct Gossip {
     /// Peers that the sender monitors and that do not answer it.
     pub suspected: Vec<u64>,
-    /// Peers that others report and that the sender hears.
+    /// Peers that others report and from which the sender receives heartbeats.
     pub reachable: Vec<u64>,
     /// States of members: pending updates, or all unreachable members in a full sync.
     pub states: Vec<MemberState>,
@@ -64,7 +65,7 @@
     /// Returns the number of members named, which determines the size of a heartbeat beyond the
     /// sender's own status.
     #[must_use]
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.suspected.len() + self.reachable.len() + self.states.len()
     }
 }
@@ -115,7 +116,7 @@
             return self.all().map(name_of).collect();
         }
         let before = self.round_at.replace(now);
-        if before.is_none_or(|before| now.saturating_sub(before) >= REPORT_UNHEARD_AFTER) {
+        if before.is_none_or(|before| now.saturating_sub(before) >= REPORT_AFTER) {
             self.monitor.reset();
         }
         self.monitor.expire(now);
@@ -133,7 +134,7 @@
         targets
     }
 
-    /// Returns the successors on the ring up to the fourth that answers, at most
+    /// Returns the successors on the ring until [`MONITORED_PEERS`] of them answer, at most
     /// [`MONITORED_PEERS_MAX`]. Peers confirmed unreachable are skipped.
     pub(super) fn monitored_window(
         &self,
@@ -145,15 +146,15 @@
         let next = next.filter(|peer| !self.is_unreachable(peer));
         let window = next.take_while(move |peer| {
             let is_full = answering == MONITORED_PEERS;
-            answering += usize::from(self.unheard_for(peer, now) < SKIP_UNHEARD_AFTER);
+            answering += usize::from(self.time_without_heartbeat(peer, now) < SKIP_AFTER);
             !is_full
         });
         window.take(MONITORED_PEERS_MAX)
     }
 
-    /// Returns the time for which a peer has not answered. Time before the start of monitoring is
+    /// Returns the time since the last heartbeat of a peer. Time before the start of monitoring is
     /// not counted, since the peer was not probed then.
-    fn unheard_for(&self, peer: &Peer, now: Duration) -> Duration {
+    fn time_without_heartbeat(&self, peer: &Peer, now: Duration) -> Duration {
         let monitored_since = self.monitor.monitored_since(id_of(peer)).unwrap_or(now);
         let since = peer.last_heard.unwrap_or_default().max(monitored_since);
         now.saturating_sub(since)
@@ -165,8 +166,8 @@
     /// network partition. The selection stays the same for [`DISTANT_PEERS_ROTATION`]: changing it
     /// in each round would in time connect every instance to every other.
     fn distant_peers(&self, own_name: &str, now: Duration) -> impl Iterator<Item = &Peer> {
-        let turn = now.as_secs() / DISTANT_PEERS_ROTATION.as_secs();
-        let from = |key: &str| rendezvous_weight(&format!("{own_name}/{turn}"), key);
+        let rotation = now.as_secs() / DISTANT_PEERS_ROTATION.as_secs();
+        let from = |key: &str| rendezvous_weight(&format!("{own_name}/{rotation}"), key);
         let mut answering = self.ring_peers_from(from("answering"));
         let answering = answering.find(|peer| !self.is_unreachable(peer));
         let any = self.ring_peers_from(from("any")).next();
@@ -225,7 +226,7 @@
         let monitored = self.monitor.monitored();
         let monitored = monitored.filter_map(|id| self.get_by_id(id));
         let unanswered =
-            monitored.filter(|peer| self.unheard_for(peer, now) >= REPORT_UNHEARD_AFTER);
+            monitored.filter(|peer| self.time_without_heartbeat(peer, now) >= REPORT_AFTER);
         let unanswered: Vec<u64> = unanswered.map(id_of).take(MONITORED_PEERS_MAX).collect();
         for peer in &unanswered {
             self.monitor.report(*peer, own_id, now);
@@ -246,23 +247,24 @@
     /// heartbeat received by this instance overrides the reports of others.
     fn is_confirmed_by_reports(&self, peer: u64, own_id: u64, now: Duration) -> bool {
         let known = self.get_by_id(peer);
-        let is_unheard = known.is_some_and(|peer| !heard_within(peer, REPORT_UNHEARD_AFTER, now));
-        if !is_unheard || self.states.is_unreachable(peer) {
+        let has_no_heartbeat =
+            known.is_some_and(|peer| !has_heartbeat_within(peer, REPORT_AFTER, now));
+        if !has_no_heartbeat || self.states.is_unreachable(peer) {
             return false;
         }
-        let is_heard = |peer: &Peer| heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now);
-        let has_no_contact = || !self.all().any(is_heard);
+        let is_in_contact = |peer: &Peer| has_heartbeat_within(peer, PEER_HEARTBEAT_TIMEOUT, now);
+        let has_no_contact = || !self.all().any(is_in_contact);
         let is_trusted = |reporter: u64| !self.states.is_unreachable(reporter);
         let monitor = &self.monitor;
         monitor.is_unreachable(peer, own_id, has_no_contact, is_trusted, now)
     }
 
-    /// Returns the peers that others report and that this instance hears.
+    /// Returns the peers that others report and from which this instance receives heartbeats.
     fn reachable_suspects(&self, now: Duration) -> Vec<u64> {
         let reported = self.monitor.reported_peers().into_iter();
         let reported = reported.filter_map(|id| self.get_by_id(id));
-        let heard = reported.filter(|peer| heard_within(peer, SKIP_UNHEARD_AFTER, now));
-        heard.map(id_of).take(MONITORED_PEERS_MAX).collect()
+        let answering = reported.filter(|peer| has_heartbeat_within(peer, SKIP_AFTER, now));
+        answering.map(id_of).take(MONITORED_PEERS_MAX).collect()
     }
 
     /// Processes a heartbeat and its gossip. From a sender marked as unreachable, only the states
@@ -281,11 +283,11 @@
         let (own_id, sender) = (own.short_id(), status.incarnation.short_id());
         let sender_name = status.incarnation.name.clone();
         self.record_heartbeat(status, now);
-        let (of_either, of_others): (Vec<MemberState>, Vec<MemberState>) = gossip
+        let (about_sender_or_self, about_others): (Vec<MemberState>, Vec<MemberState>) = gossip
             .states
             .iter()
             .partition(|state| state.member == sender || state.member == own_id);
-        for state in of_either {
+        for state in about_sender_or_self {
             self.states.merge(state, now);
         }
         if gossip.requests_full_sync {
@@ -294,7 +296,7 @@
         if self.states.is_unreachable(sender) {
             return;
         }
-        for state in of_others {
+        for state in about_others {
             if self.get_by_id(state.member).is_some() {
                 self.states.merge(state, now);
             }
--- a/src/kernel/membership.rs
+++ b/src/kernel/membership.rs
@@ -1,5 +1,5 @@
-//! Membership: which instances are live, based on the platform's delayed list, heartbeats and the
-//! spread of unreachable states.
+//! Membership: which instances are live, based on the platform's delayed list, heartbeats and
+//! gossip about unreachable members.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -35,7 +35,7 @@
     /// IP address and port for operators.
     #[serde(default)]
     pub operator_address: String,
-    /// Whether the instance is draining.
+    /// Whether the instance is departing.
     pub leaving: bool,
     /// Ticket epoch.
     pub ticket_epoch: u64,
@@ -46,7 +46,7 @@
 /// A peer as seen by this instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Last reported status, or the one from the list if the peer has not been heard yet.
+    /// Status from the last heartbeat, or from the list if no heartbeat was received yet.
     pub status: PeerStatus,
     /// Time since which this incarnation is known here.
     pub known_since: Duration,
@@ -77,13 +77,13 @@
 pub struct LivenessCounts {
     /// Members whose heartbeat was received recently.
     pub heard: usize,
-    /// Members considered live because nobody reports them.
+    /// Members considered live because no instance reports them as unreachable.
     pub unreported: usize,
     /// Members considered live although some instances, too few to confirm it, report them as
     /// unreachable.
     pub reported: usize,
     /// Members considered unreachable.
-    pub silent: usize,
+    pub unreachable: usize,
 }
 
 /// The peers of an instance.
@@ -116,12 +116,12 @@
     pub departures: Departures,
 }
 
-/// A peer that has not been heard for this long is no longer returned to callers.
+/// A peer whose last heartbeat is this old is no longer returned to callers.
 pub const PEER_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A peer that has neither been heard nor listed for this long is removed.
+/// A peer whose last heartbeat and last list entry are both this old is removed.
 pub const PEER_RETENTION: Duration = Duration::from_secs(30);
-/// Maximum number of peers at which every instance hears every other. At larger sites instances
-/// hear only some peers of their own hall, and rely on the list for other halls.
+/// Maximum number of peers at which all instances exchange heartbeats with all others. At larger
+/// sites they do so only with some peers of their own hall, and rely on the list for other halls.
 pub const SMALL_SITE_PEERS_MAX: usize = 12;
 /// Number of peers that each instance of a larger hall monitors.
 pub const MONITORED_PEERS: usize = 4;
@@ -209,10 +209,10 @@
         let not_departing = self.peers.values();
         for peer in not_departing.filter(|peer| !self.departures.contains(&peer.status.incarnation))
         {
-            let count = if heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
+            let count = if has_heartbeat_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
                 &mut counts.heard
             } else if !self.is_considered_live(peer, own_hall, now) {
-                &mut counts.silent
+                &mut counts.unreachable
             } else if self
                 .monitor
                 .reporter_count(peer.status.incarnation.short_id())
@@ -249,10 +249,10 @@
         }
     }
 
-    /// Returns whether a peer is retained. A large hall retains all peers, including unreachable
-    /// ones: the list may keep naming them, and removing them would also remove their states.
-    /// Absence from the list is no reason for removal, since it names a member only once. This
-    /// takes one entry for each name that the list ever contained.
+    /// Returns whether a peer is retained. On a large site, all peers of the own hall are retained,
+    /// including unreachable ones: the list may keep naming them, and removing them would also
+    /// remove their states. Absence from the list is no reason for removal, since it names a member
+    /// only once. This needs one entry for each name that the list ever contained.
     fn should_keep(&self, peer: &Peer, now: Duration) -> bool {
         let since = peer.last_heard.max(peer.last_listed).unwrap_or_default();
         let since = now.saturating_sub(since);
@@ -281,8 +281,9 @@
                 peer.last_listed = Some(now);
             }
             // The list names a new incarnation only once. An instance that ignored it, because it
-            // recently heard the previous incarnation, would never learn of the new one, and an
-            // incarnation that no instance monitors cannot be detected as unreachable.
+            // recently received a heartbeat of the previous incarnation, would never learn of the
+            // new one, and an incarnation that no instance monitors cannot be detected as
+            // unreachable.
             _ if self.replaced.contains_key(&id) => {}
             _ => {
                 let peer = Peer {
@@ -301,8 +302,8 @@
         self.peers.values()
     }
 
-    /// Returns whether the site is small enough for every instance to hear every peer of every
-    /// hall.
+    /// Returns whether the site is small enough for every instance to exchange heartbeats with
+    /// every peer of every hall.
     #[must_use]
     pub fn is_small_site(&self) -> bool {
         self.peers.len() <= SMALL_SITE_PEERS_MAX
@@ -326,7 +327,7 @@
     }
 
     fn is_considered_live(&self, peer: &Peer, own_hall: &str, now: Duration) -> bool {
-        if heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
+        if has_heartbeat_within(peer, PEER_HEARTBEAT_TIMEOUT, now) {
             return true;
         }
         if self.is_small_site() {
@@ -345,30 +346,31 @@
         self.peers.get(name)
     }
 
-    /// Returns whether this instance hears fewer than half of the peers that it should hear.
+    /// Returns whether this instance recently received heartbeats from fewer than half of the peers
+    /// from which it expects them.
     #[must_use]
     pub fn is_isolated(&self, own_name: &str, own_hall: &str, now: Duration) -> bool {
         if self.is_small_site() {
             let all = self.peers.values();
             let not_departing =
                 all.filter(|peer| !self.departures.contains(&peer.status.incarnation));
-            return is_mostly_unheard(not_departing, now);
+            return is_mostly_out_of_contact(not_departing, now);
         }
         let monitored: Vec<&Peer> = self.monitored_window(own_name, now).collect();
         if monitored.is_empty() {
             return self.peers.values().any(|peer| peer.status.hall == own_hall);
         }
-        is_mostly_unheard(monitored.into_iter(), now)
+        is_mostly_out_of_contact(monitored.into_iter(), now)
     }
 }
 
-fn is_mostly_unheard<'a>(expected: impl Iterator<Item = &'a Peer>, now: Duration) -> bool {
-    let (mut all, mut heard) = (0, 0);
+fn is_mostly_out_of_contact<'a>(expected: impl Iterator<Item = &'a Peer>, now: Duration) -> bool {
+    let (mut all, mut in_contact) = (0, 0);
     for peer in expected {
         all += 1;
-        heard += usize::from(heard_within(peer, PEER_HEARTBEAT_TIMEOUT, now));
+        in_contact += usize::from(has_heartbeat_within(peer, PEER_HEARTBEAT_TIMEOUT, now));
     }
-    all > 0 && heard * 2 < all
+    all > 0 && in_contact * 2 < all
 }
 
 /// Returns the ring position of a name.
@@ -377,7 +379,7 @@
 }
 
 /// Returns whether a heartbeat of a peer was received within the given time.
-pub(super) fn heard_within(peer: &Peer, within: Duration, now: Duration) -> bool {
+pub(super) fn has_heartbeat_within(peer: &Peer, within: Duration, now: Duration) -> bool {
     peer.last_heard
         .is_some_and(|at| now.saturating_sub(at) < within)
 }
--- a/src/kernel/peer_monitor.rs
+++ b/src/kernel/peer_monitor.rs
@@ -2,7 +2,8 @@
 //! answer.
 //!
 //! A single instance may itself be cut off from a peer. A peer is therefore only confirmed
-//! unreachable if two instances report it and none that still hears it refutes the reports.
+//! unreachable if two instances report it and no instance that still receives its heartbeats
+//! refutes the reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +11,8 @@
 /// Number of reporters that confirm a peer as unreachable. A single reporter may be cut off from
 /// the peer itself.
 const REPORTERS_MIN: usize = 2;
-/// Time that a report waits for refutations from instances that hear the peer: one heartbeat
-/// interval.
+/// Time that a report waits for refutations from instances that receive the peer's heartbeats: one
+/// heartbeat interval.
 const REFUTATION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time after which an instance without contact to any peer confirms its own reports. By then the
 /// other instances, which may merely be cut off from it, consider it unreachable and ignore its
@@ -83,21 +84,21 @@
 
     /// Records that `reporter` gets no answer from `peer`.
     pub fn report(&mut self, peer: u64, reporter: u64, now: Duration) {
-        let just_now = ReportPeriod {
+        let new_period = ReportPeriod {
             first: now,
             last: now,
         };
         let period = self
             .reports
             .entry(ReportKey { peer, reporter })
-            .or_insert(just_now);
+            .or_insert(new_period);
         if now.saturating_sub(period.last) >= REPORT_TTL {
-            *period = just_now;
+            *period = new_period;
         }
         period.last = now;
     }
 
-    /// Records that another instance hears `peer`.
+    /// Records that another instance receives heartbeats from `peer`.
     pub fn refute(&mut self, peer: u64, now: Duration) {
         self.refuted_at.insert(peer, now);
     }
@@ -141,8 +142,9 @@
         reports.map(|(key, period)| (key.reporter, *period))
     }
 
-    /// Returns whether a peer that this instance does not hear is confirmed unreachable.
-    /// `is_trusted` decides whether the reports of an instance count.
+    /// Returns whether a peer that does not answer this instance is confirmed unreachable.
+    /// `has_no_contact` returns whether no peer at all answers this instance, and `is_trusted`
+    /// whether the reports of an instance count.
     #[must_use]
     pub fn is_unreachable(
         &self,
@@ -164,10 +166,10 @@
             .reports_of(peer)
             .find(|(reporter, _)| *reporter == own_id);
         let own_age = own_report.map(|(_, period)| age(period));
-        let by_own = own_age.is_some_and(|age| age >= REFUTATION_TIMEOUT);
+        let by_self = own_age.is_some_and(|age| age >= REFUTATION_TIMEOUT);
         let confirmed_alone =
             own_age.is_some_and(|age| age >= LONE_REPORT_TIMEOUT) && has_no_contact();
-        by_others + usize::from(by_own) >= REPORTERS_MIN || confirmed_alone
+        by_others + usize::from(by_self) >= REPORTERS_MIN || confirmed_alone
     }
 
     /// Returns the peers that need a second probe: only one other instance has reported them for at
--- a/tests/kernel/hall.rs
+++ b/tests/kernel/hall.rs
@@ -161,8 +161,8 @@
         let to_name = &self.statuses[to].incarnation.name;
         let gossip = self.views[from].gossip_for(own, "h", to_name, self.clock.now());
         if !gossip.is_full_sync {
-            self.entries_max = self.entries_max.max(gossip.entries());
-            self.entries += u32::try_from(gossip.entries()).expect("few");
+            self.entries_max = self.entries_max.max(gossip.entry_count());
+            self.entries += u32::try_from(gossip.entry_count()).expect("few");
         }
         gossip
     }
@@ -231,12 +231,12 @@
     /// second as live.
     pub fn live_pairs_not_counted(&self) -> usize {
         let live_indices = self.live_indices();
-        let left_out = |viewer: usize| {
+        let not_counted = |viewer: usize| {
             let others = live_indices.iter().filter(|member| **member != viewer);
             others
                 .filter(|member| !self.counts_as_live(viewer, **member))
                 .count()
         };
-        live_indices.iter().map(|viewer| left_out(*viewer)).sum()
+        live_indices.iter().map(|viewer| not_counted(*viewer)).sum()
     }
 }
--- a/tests/kernel/losses.rs
+++ b/tests/kernel/losses.rs
@@ -3,9 +3,10 @@
 //! Thirty of a site's 85 instances lost power at once, and seven seconds later callers were still
 //! given the addresses of some of them. A member used to count as live until two of the four
 //! instances that monitor it had reported it, and for some members most of these were lost as well.
-//! 27 of the 30 were removed at all 55 remaining instances within 3.3 s; the other three were each
-//! reported by only one instance and never removed. The log lines `members live` and `members by
-//! evidence` (`reported` added up to 165, three for each of the 55) showed this.
+//! 27 of the 30 were removed at all 55 remaining instances within 3.3 s and never counted as live
+//! again; the other three were each reported by only one instance and never removed. The log lines
+//! `members live` and `members by evidence` (`reported` added up to 165, three for each of the 55)
+//! showed this.
 
 use std::time::Duration;
 
@@ -19,7 +20,7 @@
 
 /// Time within which no instance may count a lost one as live.
 const REMOVED_WITHIN: Duration = Duration::from_secs(6);
-/// Time before a loss in which all members are heard.
+/// Time before a loss in which all members exchange heartbeats.
 const WARM_UP: Duration = Duration::from_secs(5);
 
 /// Returns a pseudorandom share of the members, the same ones on every run.
@@ -41,19 +42,23 @@
 }
 
 #[test]
-fn losses_third_of_a_site_of_300_at_once_counted_by_nobody() {
+fn losses_third_of_a_site_of_300_at_once_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.35));
     run_until_removed(&mut hall, REMOVED_WITHIN);
     for _ in 0..20 {
         hall.round();
-        assert_eq!(hall.lost_pairs_counted_as_live(), 0, "none may come back");
+        assert_eq!(
+            hall.lost_pairs_counted_as_live(),
+            0,
+            "none may count as live again"
+        );
     }
 }
 
 #[test]
-fn losses_one_with_all_its_monitors_counted_by_nobody() {
+fn losses_one_with_all_its_monitors_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     let sends_to = |hall: &mut Hall, index| hall.targets_of(index).contains(&7);
@@ -67,7 +72,7 @@
 
 /// A third of a site is suspended and resumes.
 #[test]
-fn losses_third_comes_back_counted_by_all() {
+fn losses_suspended_third_resumes_counted_as_live_by_all() {
     const RECOVERED_WITHIN: Duration = Duration::from_secs(4);
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
@@ -82,7 +87,7 @@
 }
 
 #[test]
-fn losses_two_thirds_of_a_site_of_300_at_once_counted_by_nobody() {
+fn losses_two_thirds_of_a_site_of_300_at_once_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.65));
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn losses_whole_hall_at_once_counted_by_nobody() {
+fn losses_whole_hall_at_once_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     hall.lose(100..200);
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn losses_neighbours_on_the_ring_counted_by_nobody() {
+fn losses_neighbours_on_the_ring_not_counted_as_live() {
     /// Two thirds of the members, all adjacent on the ring: 16 of them are detected in about four
     /// seconds.
     const WITHIN: Duration = Duration::from_secs(90);
@@ -110,7 +115,7 @@
 }
 
 #[test]
-fn losses_one_after_the_other_each_counted_by_nobody() {
+fn losses_one_after_the_other_each_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     let all = sample(&hall, 0.35);
@@ -122,7 +127,7 @@
 }
 
 #[test]
-fn losses_all_but_two_counted_by_neither() {
+fn losses_all_but_two_not_counted_as_live() {
     const WITHIN: Duration = Duration::from_mins(4);
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
@@ -135,7 +140,7 @@
 }
 
 #[test]
-fn losses_all_but_one_counted_by_nobody() {
+fn losses_all_but_one_not_counted_as_live() {
     const WITHIN: Duration = Duration::from_mins(4);
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
@@ -156,7 +161,7 @@
         let heartbeats_max = MONITORED_PEERS_MAX + REPORTED_PROBES_MAX + DISTANT_PEERS;
         assert!(
             hall.heartbeats_max <= heartbeats_max,
-            "{} beats",
+            "{} heartbeats",
             hall.heartbeats_max
         );
         let entries_max = HEARTBEAT_UPDATES_MAX + 1 + 2 * MONITORED_PEERS_MAX;
@@ -172,11 +177,11 @@
         let live_indices = u32::try_from(hall.live_indices().len()).expect("few");
         let entries_per_round =
             f64::from(hall.entries - entries) / f64::from(rounds * live_indices);
-        // A lost member is told its own state by instances that select it as a distant peer: at
-        // most one entry per round.
+        // Instances that select a lost member as a distant peer send it its own state: at most one
+        // entry per round.
         assert!(
             entries_per_round <= 1.0,
-            "{entries_per_round} entries an instance and round"
+            "{entries_per_round} entries per instance and round"
         );
     }
 }
@@ -199,7 +204,7 @@
 
 /// An instance that starts later reads a list with members that were lost long ago.
 #[test]
-fn losses_instance_that_starts_later_counts_none() {
+fn losses_instance_that_starts_later_counts_none_as_live() {
     let mut hall = Hall::of(60);
     hall.run_for(WARM_UP);
     hall.lose(sample(&hall, 0.35));
@@ -213,10 +218,10 @@
     assert_eq!(hall.live_pairs_not_counted(), 0);
 }
 
-/// Members restart within seconds and are lost again. Instances that had recently heard one used to
-/// keep its old incarnation, and counted it as live after the second loss.
+/// Members restart within seconds and are lost again. Instances that had recently received a
+/// heartbeat of one used to keep its old incarnation, and counted it as live after the second loss.
 #[test]
-fn losses_started_again_and_lost_again_counted_by_nobody() {
+fn losses_restarted_and_lost_again_not_counted_as_live() {
     let mut hall = Hall::of(300);
     hall.run_for(WARM_UP);
     let lost = sample(&hall, 0.35);
--- a/tests/kernel/membership.rs
+++ b/tests/kernel/membership.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn members_silent_peer_not_live_within_bound() {
+fn members_peer_without_heartbeats_not_live_within_bound() {
     let clock = ManualClock::default();
     let mut members = Members::default();
     members.record_heartbeat(status("i1", 1, false), clock.now());
@@ -59,10 +59,10 @@
     );
 }
 
-/// The list names a member only once. An instance used to remove all members that it does not hear
-/// itself when the list was next read after ten minutes.
+/// The list names a member only once. An instance used to remove all members from which it receives
+/// no heartbeats itself when the list was next read after ten minutes.
 #[test]
-fn listed_after_ten_minutes_members_not_heard_stay_known() {
+fn listed_after_ten_minutes_members_without_heartbeats_stay_known() {
     let clock = ManualClock::default();
     let mut members = Members::default();
     let listed = |id: u128| ListedPeer {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn members_isolated_when_most_are_silent() {
+fn members_isolated_without_heartbeats_from_most_peers() {
     let clock = ManualClock::default();
     let mut members = Members::default();
     for id in 1..=4 {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn rendezvous_moves_only_what_the_lost_member_had() {
+fn rendezvous_moves_only_keys_of_the_lost_member() {
     let members = ["a", "b", "c", "d"];
     let without_c: Vec<&str> = members
         .iter()
@@ -142,7 +142,7 @@
     let mut keeper = keeper("p");
     let mut log = LeaseTable::default();
     let LeaseStep::Append(claim) = keeper.step(Duration::from_secs(1), Uuid::from_u128(1)) else {
-        panic!("nobody holds it");
+        panic!("the lease is not held");
     };
     assert!(log.apply(0, &claim));
     // The reply was lost, and the claim is only read nine seconds later.
@@ -156,7 +156,7 @@
     let (mut holder, mut successor) = (keeper("p"), keeper("q"));
     let mut log = LeaseTable::default();
     let LeaseStep::Append(claim) = holder.step(Duration::ZERO, Uuid::from_u128(1)) else {
-        panic!("nobody holds it");
+        panic!("the lease is not held");
     };
     log.apply(0, &claim);
     successor.observe(log.held("h"), Duration::from_secs(1));
@@ -231,12 +231,16 @@
     );
     for _ in 0..40 {
         hall.round();
-        assert_eq!(hall.live_in_views("i7"), 0, "it must not come back");
+        assert_eq!(
+            hall.live_in_views("i7"),
+            0,
+            "it must not count as live again"
+        );
     }
 }
 
 #[test]
-fn members_hall_of_110_one_link_cut_nobody_unreachable() {
+fn members_hall_of_110_one_link_cut_no_peer_unreachable() {
     let mut hall = Hall::new();
     let monitored = hall.monitored_by_first();
     let other = hall.index_of(&monitored);
@@ -244,7 +248,8 @@
     for _ in 0..60 {
         hall.round();
     }
-    // Only the instance behind the cut link reports it; the others hear it and refute the report.
+    // Only the instance behind the cut link reports it; the others receive its heartbeats and
+    // refute the report.
     assert_eq!(hall.live_in_views(&monitored), 109);
 }
 
@@ -262,10 +267,10 @@
         // tests of losses.
         hall.round();
     }
-    let turns = 3;
+    let rotations = 3;
     let most = targets.iter().map(BTreeSet::len).max();
     assert!(
-        most <= Some(MONITORED_PEERS + turns * DISTANT_PEERS),
+        most <= Some(MONITORED_PEERS + rotations * DISTANT_PEERS),
         "{most:?}"
     );
 }
