--- a/src/kernel/clock.rs
+++ b/src/kernel/clock.rs
@@ -26,7 +26,7 @@
 }
 
 /// The operating system's clock that continues to count while the machine is suspended. Its origin
-/// is the moment of construction.
+/// is the time of construction.
 #[derive(Debug)]
 pub struct SystemClock {
     /// Origin on the clock that includes suspension, or `None` if the system has no such clock.
--- a/src/kernel/evacuation.rs
+++ b/src/kernel/evacuation.rs
@@ -17,7 +17,7 @@
 pub struct EvacuatedHalls {
     /// Names of the halls.
     pub halls: BTreeSet<String>,
-    /// The set includes all orders before this position.
+    /// Position in the log before which the set includes all orders.
     pub complete_to: Position,
 }
 
@@ -66,16 +66,16 @@
     Restored(String),
 }
 
-/// Time for which the halls in force before the store came back from an older copy stay in force
-/// even if the copy lacks them. The operator's orders are written again in this period; for
-/// endpoints this takes about two seconds.
+/// Time for which the evacuations that were in force before the store was restored from an older
+/// copy stay in force even if the copy lacks them. The operator's lost orders are written again
+/// within this time; endpoints need about two seconds to write their own entries again.
 pub const STALE_COPY_GRACE: Duration = Duration::from_secs(5);
 
-/// Halls in force while the log may still lack orders that were acknowledged before the store came
-/// back.
+/// Evacuated halls in force while the log may still lack orders that were acknowledged before the
+/// store was restored from a copy.
 #[derive(Debug, Clone)]
 struct HeldHalls {
-    /// Halls in force before the return, updated with the orders since.
+    /// Halls that were evacuated before the store was restored, updated with the orders since.
     halls: BTreeSet<String>,
     until: Duration,
 }
@@ -87,7 +87,7 @@
     since: BTreeMap<String, Duration>,
     /// The halls according to the log: the same as in `since`, unless some are held.
     logged: EvacuatedHalls,
-    /// Halls in force in place of the log's for a limited time.
+    /// Halls that replace those of the log for a limited time.
     held: Option<HeldHalls>,
 }
 
--- a/src/kernel/freshness.rs
+++ b/src/kernel/freshness.rs
@@ -4,8 +4,8 @@
 //! An instance that is cut off from the store continues to send what it knows. Other instances
 //! notice this by the age of the data and then need time to ask elsewhere: the shares below add up
 //! to the maximum age and leave 0.45 of the time for that. If changes have four seconds, an
-//! instance reads 3.5 times a second from others (counted at 295 instances); the waits for two
-//! seconds raise this to 8.6.
+//! instance reads 3.5 times a second from others (counted at 295 instances); with the poll
+//! waits for two seconds, 8.6 times.
 
 use std::time::Duration;
 
--- a/src/kernel/group.rs
+++ b/src/kernel/group.rs
@@ -39,7 +39,8 @@
 /// A request to reserve capacity on one of the group's endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// Idempotency id chosen by the entry. A duplicate gets the same grant.
+    /// Idempotency id chosen by the entry. A duplicate of a granted or queued request gets the same
+    /// decision.
     pub reservation_id: Uuid,
     /// Instance that will stream the output to the caller.
     pub entry: String,
--- a/src/kernel/lease.rs
+++ b/src/kernel/lease.rs
@@ -1,5 +1,5 @@
 //! One lease per hall for placement orders, claimed by records in the platform's log. The offset of
-//! a claim determines its fence.
+//! a claim determines its fence, the fencing token of the orders that are sent under it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/kernel/live_view.rs
+++ b/src/kernel/live_view.rs
@@ -1,4 +1,5 @@
-//! The live members as one instance sees them at one moment, and the owners of services among them.
+//! The live members as seen by one instance at a point in time, and the owners of services among
+//! them.
 //! A view is shared and immutable, so that each ranking of the members is computed only once per
 //! change of the membership.
 
--- a/src/kernel/object.rs
+++ b/src/kernel/object.rs
@@ -49,8 +49,7 @@
         /// Number of models that can be loaded at the same time. Must be positive.
         #[serde(default = "one")]
         model_slots: u32,
-        /// Whether the engine rejects orders whose fencing token is older than the newest it has
-        /// seen.
+        /// Whether the engine rejects orders whose fence is older than the newest it has seen.
         checks_fence: bool,
     },
     /// A plain service.
--- a/src/kernel/policy.rs
+++ b/src/kernel/policy.rs
@@ -158,7 +158,8 @@
 /// Where a policy is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyScope {
-    /// By each entry alone, based on lagging load reports.
+    /// By each entry (the instance that streams to the caller) alone, based on lagging load
+    /// reports.
     Entry,
     /// By the owner of the group, based on its own grants.
     Group,
--- a/src/kernel/position.rs
+++ b/src/kernel/position.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A position in the store's log: era and offset. After the store comes back from an older copy it
-/// assigns offsets again, so offsets of different eras are not comparable; among positions, a later
-/// era is always greater.
+/// A position in the store's log: era and offset. After the store was restored from an older
+/// copy it assigns offsets again, so offsets of different eras are not comparable; among positions,
+/// a later era is always greater.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,7 +21,7 @@
         Self { era, offset }
     }
 
-    /// Returns the number of times the store had come back from a copy, according to the store.
+    /// Returns the number of times the store had been restored from a copy, according to the store.
     #[must_use]
     pub const fn era(self) -> u64 {
         self.era
--- a/src/kernel/roles.rs
+++ b/src/kernel/roles.rs
@@ -66,7 +66,7 @@
     ranked.into_iter().map(|member| member.name).collect()
 }
 
-/// Maximum number of reader groups that are tried before every member accesses the store itself.
+/// Maximum number of reader groups that a member tries before it accesses the store itself.
 const READER_GROUPS_MAX: usize = 3;
 
 /// Where one member reads the store's contents. All members with the same view select the same
--- a/src/kernel/rules.rs
+++ b/src/kernel/rules.rs
@@ -117,19 +117,19 @@
     pub fn allowed_endpoints(
         &self,
         account: &ClientAccount,
-        work: Workload<'_>,
+        workload: Workload<'_>,
     ) -> Result<Vec<AllowedEndpoint>> {
         let account_labels = account.labels.with_label("account", &account.name);
-        let work_labels = self.work_labels(work)?;
+        let workload_labels = self.workload_labels(workload)?;
         let rules: Vec<&Rule> = self
             .rules
             .iter()
             .filter(|rule| {
-                rule.accounts.matches(&account_labels) && rule.work.matches(&work_labels)
+                rule.accounts.matches(&account_labels) && rule.work.matches(&workload_labels)
             })
             .collect();
         let allowed: Vec<AllowedEndpoint> = (0..self.endpoints.len())
-            .filter(|&index| can_serve(&self.endpoints[index], work))
+            .filter(|&index| can_serve(&self.endpoints[index], workload))
             .filter_map(|index| self.match_endpoint(&rules, index))
             .collect();
         if allowed.is_empty() {
@@ -144,14 +144,15 @@
     /// Returns whether any rule allows any account to run the model on the endpoint.
     #[must_use]
     pub fn can_host_model(&self, model: &Model, endpoint: &Endpoint) -> bool {
-        let Ok(work_labels) = self.work_labels(Workload::Model(&model.name)) else {
+        let Ok(workload_labels) = self.workload_labels(Workload::Model(&model.name)) else {
             return false;
         };
         let Some(index) = self.endpoints.iter().position(|e| e.name == endpoint.name) else {
             return false;
         };
         self.rules.iter().any(|rule| {
-            rule.work.matches(&work_labels) && rule.endpoints.matches(&self.endpoint_labels[index])
+            rule.work.matches(&workload_labels)
+                && rule.endpoints.matches(&self.endpoint_labels[index])
         })
     }
 
@@ -166,11 +167,11 @@
     }
 
     /// Returns the labels of a workload, including the implied one with its name.
-    fn work_labels(&self, work: Workload<'_>) -> Result<Labels> {
-        match work {
+    fn workload_labels(&self, workload: Workload<'_>) -> Result<Labels> {
+        match workload {
             Workload::Model(name) => Ok(self.model(name)?.labels.with_label("model", name)),
             Workload::Service(name) => {
-                let is_published = self.endpoints.iter().any(|e| can_serve(e, work));
+                let is_published = self.endpoints.iter().any(|e| can_serve(e, workload));
                 let labels = Labels::default().with_label("service", name);
                 is_published.then_some(labels).ok_or_else(|| {
                     Error::new(
@@ -184,8 +185,8 @@
 }
 
 /// Returns whether the role of an endpoint fits a workload.
-fn can_serve(endpoint: &Endpoint, work: Workload<'_>) -> bool {
-    match (&endpoint.role, work) {
+fn can_serve(endpoint: &Endpoint, workload: Workload<'_>) -> bool {
+    match (&endpoint.role, workload) {
         (EndpointRole::Engine { .. }, Workload::Model(_)) => true,
         (EndpointRole::Service { service }, Workload::Service(name)) => service == name,
         _ => false,
--- a/src/kernel/store_sources.rs
+++ b/src/kernel/store_sources.rs
@@ -128,7 +128,8 @@
             .collect()
     }
 
-    /// Returns whether the store has not failed recently.
+    /// Returns whether the store may be asked: it has not failed since its last answer, or its
+    /// back-off has ended.
     #[must_use]
     pub fn can_ask_store(&self, now: Duration) -> bool {
         !self.is_paused(&Source::Store, now)
--- a/tests/kernel/evacuation.rs
+++ b/tests/kernel/evacuation.rs
@@ -95,8 +95,8 @@
     assert_eq!(in_force(&halls), ["a"], "a set of an earlier era");
 }
 
-/// The store comes back from a copy that lacks one order and contains another that was reversed
-/// since. Both are written again shortly after, or never.
+/// The store is restored from a copy that lacks one order and contains another that was reversed
+/// since. Both corrections are written again shortly after, or never.
 #[test]
 fn merge_older_copy_previous_halls_stay_in_force_for_a_while() {
     for is_rewritten in [true, false] {
@@ -121,9 +121,9 @@
     }
 }
 
-/// An order after the return takes effect at once, even if halls are held.
+/// An order after the store was restored takes effect at once, even if halls are held.
 #[test]
-fn apply_order_after_a_return_counts_at_once() {
+fn apply_order_after_store_restored_takes_effect_at_once() {
     let mut halls = ActiveEvacuations::default();
     halls.merge(&set_at(1, 9, &["a"]), NOW);
     halls.merge(&set_at(2, 4, &["a"]), NOW);
@@ -136,9 +136,9 @@
 enum Step {
     Order { hall: u8, evacuate: bool },
     Copy,
-    ComeBack,
+    RestoreCopy,
     ReadNext { reader: usize, most: usize },
-    ReadWhole { reader: usize },
+    ReadFullSet { reader: usize },
     Send { from: usize, to: usize },
 }
 
@@ -150,34 +150,34 @@
     let one = prop_oneof![
         4 => order.prop_map(|(hall, evacuate)| Step::Order { hall, evacuate }),
         1 => Just(Step::Copy),
-        1 => Just(Step::ComeBack),
+        1 => Just(Step::RestoreCopy),
         4 => (reader.clone(), 1..4_usize)
             .prop_map(|(reader, most)| Step::ReadNext { reader, most }),
-        1 => reader.clone().prop_map(|reader| Step::ReadWhole { reader }),
+        1 => reader.clone().prop_map(|reader| Step::ReadFullSet { reader }),
         3 => (reader.clone(), reader).prop_map(|(from, to)| Step::Send { from, to }),
     ];
     proptest::collection::vec(one, 1..80)
 }
 
-/// The store's log. `held` records every set that the store ever had.
+/// The store's log. `past_sets` records every set that the store ever had.
 #[derive(Default)]
 struct Log {
     era: u64,
     orders: Vec<HallOrder>,
     copied: usize,
-    held: Vec<EvacuatedHalls>,
+    past_sets: Vec<EvacuatedHalls>,
 }
 
 impl Log {
-    fn whole(&self) -> EvacuatedHalls {
-        let mut whole = sets(&self.orders).pop().unwrap_or_default();
-        whole.complete_to = Position::new(self.era, self.orders.len() as u64);
-        whole
+    fn full_set(&self) -> EvacuatedHalls {
+        let mut full_set = sets(&self.orders).pop().unwrap_or_default();
+        full_set.complete_to = Position::new(self.era, self.orders.len() as u64);
+        full_set
     }
 
     fn record_set(&mut self) {
-        let whole = self.whole();
-        self.held.push(whole);
+        let full_set = self.full_set();
+        self.past_sets.push(full_set);
     }
 
     fn append(&mut self, hall: u8, evacuate: bool) {
@@ -190,7 +190,7 @@
         self.record_set();
     }
 
-    fn come_back(&mut self) {
+    fn restore_copy(&mut self) {
         self.era += 1;
         self.orders.truncate(self.copied);
         for (offset, order) in (1..).zip(&mut self.orders) {
@@ -204,7 +204,7 @@
     /// A reader never has a set that the store never had, and never goes back to an earlier
     /// position. Once all have read, they match the store.
     #[test]
-    fn merge_store_comes_back_any_time_no_reader_falls_back(steps in steps()) {
+    fn merge_store_restored_any_time_no_reader_falls_back(steps in steps()) {
         let mut log = Log { era: 1, ..Log::default() };
         log.record_set();
         let mut readers: Vec<ActiveEvacuations> = vec![ActiveEvacuations::default(); READERS];
@@ -216,7 +216,7 @@
             match step {
                 Step::Order { hall, evacuate } => log.append(hall, evacuate),
                 Step::Copy => log.copied = log.orders.len(),
-                Step::ComeBack => log.come_back(),
+                Step::RestoreCopy => log.restore_copy(),
                 Step::ReadNext { reader, most } => {
                     let from = before[reader];
                     if from.era() == log.era {
@@ -225,11 +225,11 @@
                             readers[reader].apply_order(order, NOW);
                         }
                     } else {
-                        readers[reader].merge(&log.whole(), NOW);
+                        readers[reader].merge(&log.full_set(), NOW);
                     }
                 }
-                Step::ReadWhole { reader } => {
-                    readers[reader].merge(&log.whole(), NOW);
+                Step::ReadFullSet { reader } => {
+                    readers[reader].merge(&log.full_set(), NOW);
                 }
                 Step::Send { from, to } => {
                     let sent = readers[from].logged().clone();
@@ -240,16 +240,19 @@
                 let logged = reader.logged();
                 prop_assert!(logged.complete_to >= before);
                 let never_read = *logged == EvacuatedHalls::default();
-                prop_assert!(never_read || log.held.contains(logged), "{logged:?} was never held");
+                prop_assert!(
+                    never_read || log.past_sets.contains(logged),
+                    "the store never had {logged:?}"
+                );
             }
         }
         let later = NOW + STALE_COPY_GRACE;
         for reader in &mut readers {
-            reader.merge(&log.whole(), NOW);
+            reader.merge(&log.full_set(), NOW);
             reader.refresh(later);
-            prop_assert_eq!(reader.logged(), &log.whole());
+            prop_assert_eq!(reader.logged(), &log.full_set());
             for hall in (0..3).map(|hall| format!("hall-{hall}")) {
-                let is_evacuated = log.whole().halls.contains(&hall);
+                let is_evacuated = log.full_set().halls.contains(&hall);
                 prop_assert_eq!(reader.since(&hall).is_some(), is_evacuated);
             }
         }
--- a/tests/kernel/gateway_decisions.rs
+++ b/tests/kernel/gateway_decisions.rs
@@ -92,7 +92,7 @@
 /// Guards against concurrent configuration transfers: without the limit, every heartbeat of a peer
 /// that has a newer configuration starts another transfer.
 #[test]
-fn begin_refused_while_another_transfer_runs() {
+fn try_start_refused_while_another_transfer_runs() {
     let transfers = ExclusiveTask::default();
     let first = transfers.try_start().expect("no transfer is running");
     assert!(transfers.try_start().is_none());
@@ -154,7 +154,7 @@
     /// For any order of requests and retries, nine instances together stay within the retry
     /// allowance of the site.
     #[test]
-    fn budget_of_one_all_instances_together_within_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
+    fn instance_budget_all_instances_together_within_allowance(steps in proptest::collection::vec((0_usize..9, any::<bool>()), 0..600)) {
         let allowance = RetryAllowance { share: 0.2, slack: 58.0 };
         let mut budgets = [allowance.instance_budget(9); 9];
         let (mut requests, mut retries) = (0_u32, 0_u32);
--- a/tests/kernel/owner_contact.rs
+++ b/tests/kernel/owner_contact.rs
@@ -11,7 +11,7 @@
 /// A third of the instances is cut off from the others for twelve seconds while engines drain. Each
 /// generation there used to wait a second for the owner, and no running generation was moved.
 #[test]
-fn record_call_reports_unanswered_places_alone_at_once_and_moves_soon() {
+fn record_call_unanswered_reports_places_alone_at_once_and_moves_soon() {
     let mut owners = OwnerContact::default();
     assert!(owners.record_call("llm", false, ms(0)));
     assert!(owners.is_unreachable("llm", ms(0)));
@@ -39,7 +39,7 @@
 
 /// An instance without generations sends no reports: it tries the owner again by itself.
 #[test]
-fn is_unreachable_nothing_reported_tried_again() {
+fn is_unreachable_without_reports_tried_again() {
     let mut owners = OwnerContact::default();
     owners.record_call("llm", false, ms(0));
     assert!(!owners.is_unreachable("llm", ms(2_000)));
--- a/tests/kernel/store_sources.rs
+++ b/tests/kernel/store_sources.rs
@@ -109,7 +109,7 @@
 /// back-off, a follower asked the store each time: 1,670 calls in eight seconds on a site of 73
 /// instances.
 #[test]
-fn ordered_sources_store_unavailable_follower_seldom_asks_it() {
+fn ordered_sources_store_unavailable_follower_rarely_asks_it() {
     let (follower, reader) = follower_and_reader();
     let store_calls_by = |name: &str| {
         let mut sources = StoreSources::default();
@@ -133,7 +133,7 @@
 
 /// The store rejects the readers but serves others: a follower finds this out by itself.
 #[test]
-fn ordered_sources_store_back_follower_asks_it_within_three_seconds() {
+fn ordered_sources_store_available_again_follower_asks_it_within_three_seconds() {
     let (follower, _) = follower_and_reader();
     let mut sources = StoreSources::default();
     let mut now = ms(0);
@@ -217,7 +217,7 @@
 /// A member cannot reach any relay or reader, but can reach the store: it asks the store within a
 /// few reads.
 #[test]
-fn ordered_sources_large_site_peers_gone_store_asked() {
+fn ordered_sources_large_site_peers_unreachable_store_asked() {
     let names = large_names();
     let members: Vec<MemberCapacity> = names.iter().map(|name| (name.as_str(), 0.12)).collect();
     let plans = names.iter().map(|name| ReaderPlan::new(name, &members));
