--- a/tests/kernel/freshness.rs
+++ b/tests/kernel/freshness.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn freshness_two_seconds_waits_that_were_measured() {
+fn freshness_two_seconds_waits_and_age_in_milliseconds() {
     let freshness = Freshness::new(Duration::from_secs(2));
     assert_eq!(freshness.store_poll_wait(false), Duration::from_millis(750));
     assert_eq!(freshness.peer_poll_wait(), Duration::from_millis(350));
