--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -306,7 +306,7 @@
         heard,
         unreported,
         reported,
-        silent,
+        unreachable: silent,
     } = counts;
     info!("members by evidence", kv: { heard:, unreported:, reported:, silent: });
     let counts = [
