--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -209,7 +209,7 @@
                 routing.stop_within().saturating_sub(STOP_MARGIN),
             )
         };
-        *gateway.ends_at.lock() = Some(started_at + timeout);
+        *gateway.exit_deadline.lock() = Some(started_at + timeout);
         gateway.in_flight.mark_leaving();
         heartbeat::send_heartbeats(gateway);
         loop {
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -56,11 +56,11 @@
     }
     let fingerprint = call.fingerprint();
     let now = gateway.now();
-    gateway.suspects.lock().verdict(fingerprint, now)
+    gateway.crash_suspects.lock().verdict(fingerprint, now)
 }
 
 fn may_be_known(call: &Call) -> bool {
-    let suspects = &call.gateway.suspects;
+    let suspects = &call.gateway.crash_suspects;
     // Usually there are no suspects, and nothing has to be hashed.
     if suspects.lock().is_empty() {
         return false;
@@ -94,7 +94,7 @@
 /// Returns a software version of the ready endpoints that has completed the request.
 fn proven_software(call: &Call, ready: &[EndpointEntry]) -> Option<u64> {
     let fingerprint = call.fingerprint();
-    let suspects = call.gateway.suspects.lock();
+    let suspects = call.gateway.crash_suspects.lock();
     let mut versions = ready.iter().map(software);
     versions.find(|software| suspects.has_finished_on(fingerprint, *software))
 }
@@ -112,7 +112,7 @@
     let fingerprint = call.fingerprint();
     let now = gateway.now();
     let trial_software = {
-        let mut suspects = gateway.suspects.lock();
+        let mut suspects = gateway.crash_suspects.lock();
         let mut versions = ready.iter().map(software);
         versions.find(|software| suspects.begin_trial(fingerprint, *software, now))
     }?;
@@ -148,11 +148,11 @@
     }
     let gateway = &call.gateway;
     let fingerprint = call.fingerprint();
-    let change =
-        gateway
-            .suspects
-            .lock()
-            .record_survival(fingerprint, software(endpoint), gateway.now());
+    let change = gateway.crash_suspects.lock().record_survival(
+        fingerprint,
+        software(endpoint),
+        gateway.now(),
+    );
     if change != SuspectChange::None {
         info!("suspected content finished", kv: {
             content: = fingerprint, endpoint = endpoint.id.as_str(), request_id = call.head.request_id.as_str(),
@@ -169,7 +169,7 @@
     let gateway = &call.gateway;
     let fingerprint = call.fingerprint();
     gateway
-        .suspects
+        .crash_suspects
         .lock()
         .record_ran_past_start(fingerprint, gateway.now());
 }
@@ -189,7 +189,7 @@
             at_start: ran_for < START_WINDOW,
         };
         let change = self
-            .suspects
+            .crash_suspects
             .lock()
             .record_crash(fingerprint, end, self.now());
         self.handle_suspect_change(fingerprint, change, "seen here");
@@ -204,7 +204,7 @@
     /// Releases a suspect at the request of an operator, here and, by gossip, at all instances.
     /// Returns whether it was known.
     pub(super) fn release_suspect(self: &Arc<Self>, fingerprint: RequestFingerprint) -> bool {
-        let was_known = self.suspects.lock().release(fingerprint, self.now());
+        let was_known = self.crash_suspects.lock().release(fingerprint, self.now());
         if was_known {
             info!("content let go by an operator", kv: { content: = fingerprint });
             self.suspects_changed.notify_one();
@@ -220,7 +220,7 @@
     ) -> Result<(), InvalidMessageField> {
         for received in suspects {
             let received: SuspectReport = received.try_into()?;
-            let change = self.suspects.lock().merge(&received, self.now());
+            let change = self.crash_suspects.lock().merge(&received, self.now());
             self.handle_suspect_change(received.fingerprint, change, "member");
             if change == SuspectChange::NowRefused {
                 heartbeat::try_send_early_heartbeats(self);
@@ -233,7 +233,7 @@
     pub(super) fn merge_stored_suspect(&self, kept: &StoredSuspect) {
         let received = kept.report_at(self.clock.unix_time());
         let change = {
-            let mut suspects = self.suspects.lock();
+            let mut suspects = self.crash_suspects.lock();
             let change = suspects.merge(&received, self.now());
             suspects.mark_stored(&received);
             change
@@ -243,7 +243,7 @@
 
     /// Returns the suspects to send to peers.
     pub(super) fn suspect_updates(&self) -> Vec<wire::Suspect> {
-        let updates = self.suspects.lock().recent_updates(self.now());
+        let updates = self.crash_suspects.lock().recent_updates(self.now());
         updates.iter().map(Into::into).collect()
     }
 
@@ -258,7 +258,7 @@
         }
         self.suspects_changed.notify_one();
         let (known, refused) = {
-            let suspects = self.suspects.lock();
+            let suspects = self.crash_suspects.lock();
             (suspects.len(), suspects.refused_count())
         };
         let gauge = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
@@ -270,7 +270,7 @@
     }
 
     fn is_suspect_keeper(&self) -> bool {
-        let live = self.live.view();
+        let live = self.live_members.view();
         let keeper = live.owner(KEEPER_ROLE);
         keeper.is_some_and(|keeper| keeper.name == self.incarnation.name)
     }
@@ -303,7 +303,7 @@
     let now = gateway.now();
     let is_keeper = gateway.is_suspect_keeper();
     let (unsaved, expired) = {
-        let mut suspects = gateway.suspects.lock();
+        let mut suspects = gateway.crash_suspects.lock();
         if suspects.is_empty() {
             return Ok(());
         }
@@ -314,7 +314,7 @@
         let kept = StoredSuspect::new(suspect.clone(), gateway.clock.unix_time());
         let written = gateway.store.store_suspect(&kept).await;
         written.map_err(|error| error.to_string())?;
-        gateway.suspects.lock().mark_stored(&suspect);
+        gateway.crash_suspects.lock().mark_stored(&suspect);
     }
     for fingerprint in expired.into_iter().filter(|_| is_keeper) {
         let dropped = gateway.store.delete_suspect(fingerprint).await;
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -116,7 +116,7 @@
         (was_live, is_live, has_departed)
     };
     if was_live != is_live || has_departed {
-        gateway.live.invalidate();
+        gateway.live_members.invalidate();
     }
     if !was_live && is_live {
         info!("member lives", kv: { member = name.as_str() });
--- a/src/gateway/held_calls.rs
+++ b/src/gateway/held_calls.rs
@@ -96,7 +96,7 @@
         return;
     }
     let began_at = gateway.now();
-    gateway.held.wait(gateway, max_wait).await;
+    gateway.held_calls.wait(gateway, max_wait).await;
     let waited = gateway.now().saturating_sub(began_at);
     metrics::histogram!("larkwick_call_held_seconds").record(waited.as_secs_f64());
 }
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -139,7 +139,7 @@
     /// When heartbeats were last sent ahead of schedule.
     pub(crate) early_heartbeats_sent_at: Mutex<Option<Duration>>,
     /// The live members with their capacity.
-    pub(crate) live: Arc<LiveMembers>,
+    pub(crate) live_members: Arc<LiveMembers>,
     pub(crate) member_entries: Arc<Mutex<HashMap<String, MemberEntry>>>,
     /// Era of the store for which the records of this instance were last verified.
     pub(crate) own_records_checked_era: Mutex<Option<u64>>,
@@ -156,7 +156,7 @@
     pub(crate) upstream: Upstream,
     pub(crate) suspensions: Suspensions,
     /// Request fingerprints suspected of crashing endpoints.
-    pub(crate) suspects: Mutex<CrashSuspects>,
+    pub(crate) crash_suspects: Mutex<CrashSuspects>,
     /// Wakes the task that persists crash suspects in the store.
     pub(crate) suspects_changed: Notify,
     /// Probes of endpoints that recently aborted responses.
@@ -168,9 +168,9 @@
     pub(crate) catch_up: ExclusiveTask,
     pub(crate) in_flight: InFlight,
     pub(crate) work_counters: Arc<WorkCounters>,
-    pub(crate) held: HeldCalls,
+    pub(crate) held_calls: HeldCalls,
     /// Latest time at which this instance exits; set when shutdown is requested.
-    pub(crate) ends_at: Mutex<Option<Duration>>,
+    pub(crate) exit_deadline: Mutex<Option<Duration>>,
 }
 
 /// Minimum weight of a member's address in the directory, in processor cores.
@@ -194,7 +194,7 @@
         let entries = member_entries.clone();
         let own_name = settings.instance.clone();
         let peer_address = peer_address(&settings, &routing);
-        let live = Arc::new(LiveMembers::new(
+        let live_members = Arc::new(LiveMembers::new(
             &own_name,
             peer_address.to_string(),
             members.clone(),
@@ -207,7 +207,7 @@
             store,
             clock.clone(),
             peers.clone(),
-            live.clone(),
+            live_members.clone(),
             routing.freshness(),
             work_counters.clone(),
         );
@@ -217,7 +217,7 @@
         Self {
             upstream: Upstream::new(clock.clone(), endpoint_signals.clone()),
             suspensions: Suspensions::default(),
-            suspects: Mutex::default(),
+            crash_suspects: Mutex::default(),
             suspects_changed: Notify::new(),
             early_heartbeats_sent_at: Mutex::default(),
             own_entry_lost: Notify::new(),
@@ -235,7 +235,7 @@
             is_fleet_loaded: std::sync::atomic::AtomicBool::new(false),
             members,
             instance_counter: Mutex::default(),
-            live,
+            live_members,
             member_entries,
             health: Mutex::default(),
             cold_rate_limiter: Mutex::default(),
@@ -247,8 +247,8 @@
             catch_up: ExclusiveTask::default(),
             in_flight: InFlight::new(),
             work_counters,
-            held: HeldCalls::default(),
-            ends_at: Mutex::default(),
+            held_calls: HeldCalls::default(),
+            exit_deadline: Mutex::default(),
         }
     }
 
@@ -307,14 +307,14 @@
 
     fn release_held_calls(&self) {
         if self.can_serve() {
-            self.held.release();
+            self.held_calls.release();
         }
     }
 
     /// Returns the time until this instance exits, or `None` if no shutdown was requested.
     pub(crate) fn time_until_stop(&self) -> Option<Duration> {
-        let ends_at = *self.ends_at.lock();
-        Some(ends_at?.saturating_sub(self.now()))
+        let exit_deadline = *self.exit_deadline.lock();
+        Some(exit_deadline?.saturating_sub(self.now()))
     }
 
     /// Counts a call as in flight until the guard is dropped.
@@ -372,7 +372,7 @@
     /// Records the entry that a member wrote about itself.
     pub(crate) fn record_member_entry(&self, entry: MemberEntry) {
         self.member_entries.lock().insert(entry.name.clone(), entry);
-        self.live.invalidate();
+        self.live_members.invalidate();
     }
 
     /// Returns how many connections this instance may open to an endpoint of a service.
--- a/src/gateway/operator_api.rs
+++ b/src/gateway/operator_api.rs
@@ -104,7 +104,7 @@
         });
         dumps.collect()
     };
-    let (calls_held, calls_held_so_far) = gateway.held.counts();
+    let (calls_held, calls_held_so_far) = gateway.held_calls.counts();
     Json(StateDump {
         instance: gateway.incarnation.name.clone(),
         incarnation: gateway.incarnation.id.to_string(),
@@ -147,7 +147,7 @@
 #[get("/suspects")]
 fn suspects(gateway: &State<Arc<Gateway>>) -> Json<Vec<SuspectDump>> {
     let now = gateway.now();
-    let suspects = gateway.suspects.lock();
+    let suspects = gateway.crash_suspects.lock();
     let dumps = suspects.reports(now).map(|report| SuspectDump {
         fingerprint: report.fingerprint,
         verdict: suspects.verdict(report.fingerprint, now),
--- a/src/gateway/ownership.rs
+++ b/src/gateway/ownership.rs
@@ -8,7 +8,7 @@
 /// Returns the peer address of the owner of a service's engines; `None` if this instance is the
 /// owner or no owner is known.
 pub(super) fn owner_address(gateway: &Gateway, service: &str) -> Option<String> {
-    let live = gateway.live.view();
+    let live = gateway.live_members.view();
     let owner = match gateway.in_flight.stage() {
         Stage::Leaving => live.owner_among_others(service),
         Stage::Serving => live.owner(service),
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -100,9 +100,9 @@
     store: Arc<dyn SiteStore>,
     clock: Arc<dyn Clock>,
     peers: Arc<PeerClients>,
-    live: Arc<LiveMembers>,
+    live_members: Arc<LiveMembers>,
     freshness: Freshness,
-    tally: Arc<WorkCounters>,
+    work_counters: Arc<WorkCounters>,
     /// The latest known era of the store.
     era: AtomicU64,
     shards: [SubjectShard; 3],
@@ -116,18 +116,18 @@
         store: Arc<dyn SiteStore>,
         clock: Arc<dyn Clock>,
         peers: Arc<PeerClients>,
-        live: Arc<LiveMembers>,
+        live_members: Arc<LiveMembers>,
         freshness: Freshness,
-        tally: Arc<WorkCounters>,
+        work_counters: Arc<WorkCounters>,
     ) -> Self {
         Self {
             store,
             era: AtomicU64::new(0),
             freshness,
-            tally,
+            work_counters,
             clock,
             peers,
-            live,
+            live_members,
             shards: SUBJECTS.map(|subject| SubjectShard {
                 cache: Mutex::new(SubjectCache::new(subject)),
                 sources: Mutex::new(StoreSources::default()),
@@ -162,7 +162,7 @@
     pub(crate) fn poll_wait(&self, subject: Subject) -> Duration {
         match subject {
             Subject::Configuration | Subject::Endpoints => {
-                let is_relayed = !self.live.view().readers().relays.is_empty();
+                let is_relayed = !self.live_members.view().readers().relays.is_empty();
                 self.freshness.store_poll_wait(is_relayed)
             }
             Subject::Members => MEMBERS_STORE_POLL_WAIT,
@@ -177,7 +177,7 @@
     /// Returns the sources of a subject in the order in which they are tried, with the addresses of
     /// peers.
     fn sources(&self, subject: Subject) -> Vec<(Source, Option<String>)> {
-        let live = self.live.view();
+        let live = self.live_members.view();
         let now = self.clock.now();
         let shard = self.shard(subject);
         let sources = shard.sources.lock().ordered_sources(live.readers(), now);
@@ -367,7 +367,7 @@
 
     /// Returns the store itself and counts a call to it.
     fn store(&self) -> &dyn SiteStore {
-        self.tally.increment(WorkKind::StoreCall);
+        self.work_counters.increment(WorkKind::StoreCall);
         self.store.as_ref()
     }
 
@@ -442,7 +442,7 @@
         wait: Duration,
     ) -> StoreResult<AgedPage> {
         let requested_at = self.clock.now();
-        let through_relays = self.live.view().readers().reads_through_relays();
+        let through_relays = self.live_members.view().readers().reads_through_relays();
         let page = match from {
             Some(from) => self.store().read(subject, from, wait).await?,
             None if self.has_no_data(subject) && !through_relays => {
--- a/src/gateway/shared_store/bootstrap.rs
+++ b/src/gateway/shared_store/bootstrap.rs
@@ -94,7 +94,7 @@
                 .read_first_success(peers, subject, None, BOOTSTRAP_PEER_WAIT)
                 .await;
         }
-        let head_start = if self.live.view().readers().reads_store() {
+        let head_start = if self.live_members.view().readers().reads_store() {
             Duration::ZERO
         } else {
             READER_HEAD_START
@@ -144,7 +144,7 @@
     /// outage of the store serves what the others serve. Queries a few members concurrently:
     /// querying 100 members without data one after the other takes longer than an outage lasts.
     async fn read_stale_from_peers(&self, subject: Subject) -> Option<SitePage> {
-        let live = self.live.view();
+        let live = self.live_members.view();
         let others = live.members().iter();
         let others = others.filter(|member| member.name != self.own_name);
         let sampled = others.sample(&mut rand::rng(), STALE_READ_PEERS);
--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -205,7 +205,7 @@
         _ => None,
     });
     let stored: BTreeSet<RequestFingerprint> = stored.collect();
-    if gateway.suspects.lock().sync_stored(&stored) {
+    if gateway.crash_suspects.lock().sync_stored(&stored) {
         gateway.suspects_changed.notify_one();
     }
 }
@@ -264,7 +264,7 @@
         SiteRecord::Member(entry) => apply_member(gateway, entry),
         SiteRecord::Suspect(stored) => gateway.merge_stored_suspect(&stored),
         SiteRecord::SuspectGone(fingerprint) => {
-            gateway.suspects.lock().mark_not_stored(fingerprint);
+            gateway.crash_suspects.lock().mark_not_stored(fingerprint);
         }
         SiteRecord::HallOrder(order) => gateway.apply_hall_order(&order),
         SiteRecord::EvacuatedHalls(halls) => gateway.merge_evacuated_halls(&halls, "store"),
