--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -119,7 +119,7 @@
                 .add_service(service)
                 .serve_with_incoming(incoming);
             if let Err(error) = served.await {
-                spdlog::error!("peer server failed: {}", error);
+                spdlog::error!("server for peers failed: {}", error);
             }
         }));
         let listener_kinds = [
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -64,14 +64,14 @@
 }
 
 /// Adds the gossip for one peer to a heartbeat.
-fn with_gossip_for(gateway: &Gateway, to: &str, all: wire::Beat) -> wire::Beat {
+fn with_gossip_for(gateway: &Gateway, to: &str, shared: wire::Beat) -> wire::Beat {
     let gossip = {
         let mut members = gateway.members.lock();
         members.gossip_for(&gateway.incarnation, MEMBER_RING, to, gateway.now())
     };
     wire::Beat {
         gossip: Some(gossip.into()),
-        ..all
+        ..shared
     }
 }
 
@@ -127,15 +127,15 @@
     Ok(name)
 }
 
-async fn send_heartbeat(gateway: Arc<Gateway>, address: String, own: wire::Beat) {
+async fn send_heartbeat(gateway: Arc<Gateway>, address: String, heartbeat: wire::Beat) {
     let Ok(mut client) = gateway.peers.site_client(&address) else {
         return;
     };
     // A failed call needs no handling: the failure detector notices the missing heartbeats.
-    if let Ok(reply) = call_with_timeout(CALL_TIMEOUT, client.heartbeat(own)).await
+    if let Ok(reply) = call_with_timeout(CALL_TIMEOUT, client.heartbeat(heartbeat)).await
         && let Err(error) = receive_heartbeat(&gateway, reply)
     {
-        warn!("invalid heartbeat reply: {}", error);
+        warn!("invalid heartbeat in reply from peer: {}", error);
     }
 }
 
@@ -170,10 +170,10 @@
 
 /// Starts sending one round of heartbeats, without waiting for the replies.
 pub(crate) fn send_heartbeats(gateway: &Arc<Gateway>) {
-    let all = shared_heartbeat(gateway);
+    let shared = shared_heartbeat(gateway);
     for peer in heartbeat_targets(gateway) {
-        let own = with_gossip_for(gateway, &peer.name, all.clone());
-        tokio::spawn(send_heartbeat(gateway.clone(), peer.address, own));
+        let heartbeat = with_gossip_for(gateway, &peer.name, shared.clone());
+        tokio::spawn(send_heartbeat(gateway.clone(), peer.address, heartbeat));
     }
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,15 +3,15 @@
 //!
 //! | file | subject |
 //! |---|---|
-//! | `app` | starts an instance and stops it as planned |
+//! | `app` | start-up and graceful shutdown of an instance |
 //! | `node` | shared state of an instance, in shards with a lock each |
 //! | `site_store` | interface to the platform's store, implemented by plug-ins |
 //! | `shared_store`, `subject_cache` | cached access to the store, directly or through peers |
 //! | `store_follower` | synchronizes configuration, endpoints and members with the store |
-//! | `catch_up` | fetches a newer configuration from a peer if the path through the store is late |
+//! | `catch_up` | fetches a newer configuration from a peer if the primary path through the store is late |
 //! | `heartbeat` | heartbeats and gossip between members |
 //! | `live_members` | cached view of the live members |
-//! | `listener` | connections of callers |
+//! | `listener` | HTTP listeners for callers, readiness checks and the directory |
 //! | `operator_api` | HTTP routes for operators |
 //! | `peers`, `chunked_pages` | the gRPC service for other instances, and the transfer of pages in chunks |
 //! | `inbound_call`, `message_heads`, `response_body` | a call in flight, heads of requests and responses, and the response body |
@@ -21,8 +21,8 @@
 //! | `held_calls` | calls held until the instance is ready |
 //! | `request_handler` | handles the requests of callers |
 //! | `plain_call`, `endpoint_selection` | calls with a single response, and the selection of their endpoint |
-//! | `generation`, `started_generation`, `relay` | generations: placed, then passed on event by event, also when they move |
-//! | `takeover` | generations whose connection to their engine has gone silent |
+//! | `generation`, `started_generation`, `relay` | placement of generations, and forwarding of their events, also after a move |
+//! | `takeover` | takes over generations whose connection to their engine stalled |
 //! | `upstream` | connection pools of the endpoints |
 //! | `endpoint_signals` | handles the signals in the response headers of endpoints |
 //! | `endpoint_cooldowns` | effect of endpoint cooldowns on calls |
@@ -30,10 +30,10 @@
 //! | `runs`, `moves` | the generations served here, and how they move to another engine |
 //! | `suspend_aware_waits` | waits that respect deadlines also after a suspension of the machine |
 //! | `work_counters` | counters of the work that grows with the size of the site |
-//! | `engine_reports` | asks engines whether they leave while the list is silent |
-//! | `ownership` | who owns a service's engines |
-//! | `ledgers`, `coordinator` | places and moves, by the owner or alone |
-//! | `run_reports` | what the owners are told |
+//! | `engine_reports` | polls engines for whether they drain while the endpoint list is not updated |
+//! | `ownership` | which instance owns the engines of a service |
+//! | `ledgers`, `coordinator` | placement and moves of generations, by the owner, or by this instance alone if it cannot reach the owner |
+//! | `run_reports` | reports the generations served here to the owners of their services |
 
 pub(crate) mod aborted_requests;
 pub mod app;
--- a/src/gateway/node.rs
+++ b/src/gateway/node.rs
@@ -116,7 +116,8 @@
 /// Budget for retries to one service from this instance.
 struct ServiceRetryBudget {
     budget: RetryBudget,
-    /// Whether the slack on top of the retry share was added.
+    /// Whether the slack on top of the retry share was added. It is added once
+    /// the instance has run for one retry window.
     has_slack: bool,
 }
 
@@ -522,17 +523,18 @@
     routing.peer_address_told.unwrap_or(settings.peer_address)
 }
 
-/// Draws a random sample without replacement; a higher weight is more likely to be drawn.
+/// Draws a random sample without replacement, weighted by the first component: keeps the items with
+/// the highest keys `ln(u) / weight`, where `u` is uniform in (0, 1) (Efraimidis and Spirakis).
 fn sample_by_weight(weighted: Vec<(f64, SocketAddr)>, max: usize) -> Vec<(f64, SocketAddr)> {
     let mut drawn: Vec<(f64, (f64, SocketAddr))> = weighted
         .into_iter()
-        .map(|one| {
-            let weight = one.0.max(ADDRESS_WEIGHT_MIN);
+        .map(|item| {
+            let weight = item.0.max(ADDRESS_WEIGHT_MIN);
             let key = rand::rng().random_range(f64::EPSILON..1.0).ln() / weight;
-            (key, one)
+            (key, item)
         })
         .collect();
-    drawn.sort_by(|one, other| other.0.total_cmp(&one.0));
+    drawn.sort_by(|left, right| right.0.total_cmp(&left.0));
     drawn.truncate(max);
-    drawn.into_iter().map(|(_, one)| one).collect()
+    drawn.into_iter().map(|(_, item)| item).collect()
 }
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -26,7 +26,7 @@
 
 /// Timeout for a request to the issuer, which is normally reachable within milliseconds.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
-/// Pause before the issuer is asked again after it did not answer, or considered another instance
+/// Pause before another request to an issuer that did not answer, or considered another instance
 /// to be the issuer.
 const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Maximum wait for a permit that a running generation needs.
@@ -236,11 +236,11 @@
         let Some(known) = known else {
             return Some(new_permit(permits, endpoint, None));
         };
-        let kept = permits.requested.lock().take_unused(endpoint, requested_at);
-        if let Some(expires_at) = kept {
-            let mut kept = new_permit(permits, endpoint, None);
-            kept.expires_at = Some(expires_at);
-            return Some(kept);
+        let unused_until = permits.requested.lock().take_unused(endpoint, requested_at);
+        if let Some(expires_at) = unused_until {
+            let mut permit = new_permit(permits, endpoint, None);
+            permit.expires_at = Some(expires_at);
+            return Some(permit);
         }
         if permits.denied_until(endpoint).is_some() {
             return None;
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -309,7 +309,7 @@
             .map_err(StoreError::NoAnswer)?;
         drop(transfer);
         let records = page.decode();
-        let records = records.map_err(|fault| StoreError::Malformed(fault.to_string()))?;
+        let records = records.map_err(|error| StoreError::Malformed(error.to_string()))?;
         let since_recovery = Duration::from_millis(head.regained_ms_ago);
         Ok(AgedPage {
             page: SitePage {
@@ -504,7 +504,7 @@
                 Some(from) => cache.extend(from, &page, confirmed_at),
                 None if page.next.era() >= cache.next.era() => cache.replace(&page, confirmed_at),
                 // In transit while the store was restored. The caller continues from the end of
-                // this page and is then told of the new era.
+                // this page, and its next read reports the new era.
                 None => {
                     info!("page of an earlier era left aside", kv: { subject = subject.name(), next: = page.next });
                 }
--- a/src/gateway/subject_cache.rs
+++ b/src/gateway/subject_cache.rs
@@ -150,8 +150,10 @@
 
     /// Returns the encoded records from a position on; `None` if some of them are no longer cached.
     ///
-    /// The requester may be ahead of this cache. For a position of another era the page is empty:
-    /// the requester learns the current era from the head and reads the latest records.
+    /// The page is empty if the requester is ahead of this cache, and for a position of another era:
+    /// the requester learns the current era from the head and reads the latest records. Of the
+    /// configuration, recent records are not cached: the page is the full one, or has only the
+    /// evacuated halls if the requester has the latest configuration.
     pub(super) fn encoded_since(&mut self, from: Position) -> Option<EncodedPage> {
         if from.era() != self.next.era() {
             return encode(&[]);
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -159,7 +159,7 @@
             chunked_pages::collect_chunks(first.chain(others), chunked_pages::CHUNK_TIMEOUT).await;
         Ok(EncodedPage {
             compressed: self.head.compressed,
-            bytes: bytes.map_err(|fault| fault.to_string())?,
+            bytes: bytes.map_err(|error| error.to_string())?,
         })
     }
 }
--- a/src/platform/endpoint_entries.rs
+++ b/src/platform/endpoint_entries.rs
@@ -29,7 +29,7 @@
     /// Time of the start, in milliseconds since the Unix epoch; an integer if present.
     #[serde(default, deserialize_with = "deserialize_non_null")]
     born: Option<u64>,
-    /// Remaining warm-up time, counted from its start.
+    /// Remaining warm-up time that it announced at its start, in milliseconds.
     #[serde(default, deserialize_with = "deserialize_non_null")]
     cold_left_ms: Option<f64>,
 }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -90,5 +90,5 @@
 pub const STORE_APPEND_PATH: &str = "/larkwick/log-append";
 /// Path at the store for reading records.
 pub const STORE_READ_PATH: &str = "/larkwick/log-read";
-/// Path at the store for reading the newest record of each key.
+/// Path at the store for reading the latest record of each key.
 pub const STORE_NEWEST_PATH: &str = "/larkwick/log-newest";
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -65,7 +65,7 @@
 pub struct StoreClient {
     client: Mutex<PooledClient>,
     base_url: String,
-    /// Latest valid era in a response so far; 0 if no response has named one.
+    /// Latest valid era in a response so far; 0 if no response had one.
     latest_era: AtomicU64,
 }
 
@@ -106,7 +106,7 @@
     first: u64,
 }
 
-/// A record of a topic that retains the newest record of each key.
+/// A record of a topic that retains the latest record of each key.
 struct KeyedRecord {
     key: String,
     /// `None` if the record deletes its key.
@@ -234,8 +234,8 @@
         Ok(())
     }
 
-    /// Reads a page of the newest records, starting after the key `since`. Returns it with its era.
-    async fn fetch_newest_page(
+    /// Reads a page of the latest record of each key, starting after the key `since`. Returns it with its era.
+    async fn fetch_latest_page(
         &self,
         subject: Subject,
         since: Option<&str>,
@@ -271,7 +271,7 @@
 async fn read_body(response: reqwest::Response) -> StoreResult<Bytes> {
     let body =
         chunked_pages::collect_chunks(response.bytes_stream(), chunked_pages::CHUNK_TIMEOUT).await;
-    body.map_err(|fault| StoreError::NoAnswer(fault.to_string()))
+    body.map_err(|error| StoreError::NoAnswer(error.to_string()))
 }
 
 async fn read_json<T: serde::de::DeserializeOwned>(response: reqwest::Response) -> StoreResult<T> {
@@ -286,7 +286,7 @@
         let mut first_end = None;
         let mut since: Option<String> = None;
         loop {
-            let (page, era) = self.fetch_newest_page(subject, since.as_deref()).await?;
+            let (page, era) = self.fetch_latest_page(subject, since.as_deref()).await?;
             let end = Position::new(era, page.end);
             // The pages are not a snapshot. Reading on from the end of the first page misses
             // nothing.
@@ -296,7 +296,7 @@
             }
             since = page.items.last().map(|item| item.key.clone());
             for item in page.items {
-                records.extend(decode_newest_item(subject, &item, end));
+                records.extend(decode_latest_item(subject, &item, end));
             }
             if !page.more || since.is_none() {
                 break;
@@ -405,8 +405,8 @@
     })
 }
 
-/// Decodes an item of a page of newest records. Returns `None` if its key was deleted.
-fn decode_newest_item(subject: Subject, item: &WireItem, end: Position) -> Option<SiteRecord> {
+/// Decodes an item of a page of latest records. Returns `None` if its key was deleted.
+fn decode_latest_item(subject: Subject, item: &WireItem, end: Position) -> Option<SiteRecord> {
     let text = item.value.as_ref().filter(|text| !text.is_empty())?;
     match STANDARD.decode(text) {
         Ok(value) => decode(subject, &item.key, Some(&value), end),
@@ -417,7 +417,7 @@
     }
 }
 
-/// Merges the hall orders of a complete read into one record, which also tells that no other hall
+/// Merges the hall orders of a complete read into one record, which also says that no other hall
 /// is evacuated.
 fn merge_hall_orders(records: Vec<SiteRecord>, end: Position) -> Vec<SiteRecord> {
     let mut evacuated = EvacuatedHalls {
