--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -109,31 +109,31 @@
 ) -> Result<Response<ResponseBody>, Infallible> {
     Ok(match kind {
         ListenerKind::Callers => request_handler::handle(gateway, request).await,
-        ListenerKind::Ready => ready(&gateway, &request),
-        ListenerKind::Directory => resolve(&gateway, &request),
+        ListenerKind::Ready => readiness_response(&gateway, &request),
+        ListenerKind::Directory => directory_response(&gateway, &request),
     })
 }
 
-fn status_only(status: StatusCode) -> Response<ResponseBody> {
+fn empty_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn ready(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
+fn readiness_response(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET || request.uri().path() != names::READY_PATH {
-        return status_only(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
-    status_only(if gateway.is_ready() {
+    empty_response(if gateway.is_ready() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     })
 }
 
-fn resolve(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
+fn directory_response(gateway: &Gateway, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.method() != Method::GET || request.uri().path() != names::RESOLVE_PATH {
-        return status_only(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     let addresses = gateway.caller_addresses(directory::ADDRESSES_MAX);
     if addresses.is_empty() {
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -193,13 +193,14 @@
         is_valid
     }
 
-    /// Evicts expired permits, and limits of unknown endpoints.
+    /// Evicts expired permits, limits of unknown endpoints, and what this instance issued for
+    /// endpoints without a limit.
     pub(super) fn prune(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
         self.limits.lock().prune(is_known, now);
         self.requested.lock().prune(now);
-        let limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
-        self.issuer.lock().prune(limited);
+        let is_limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
+        self.issuer.lock().prune(is_limited);
     }
 }
 
--- a/src/gateway/shared_store.rs
+++ b/src/gateway/shared_store.rs
@@ -46,7 +46,7 @@
 /// Shortest outage of the store after which entries may be missing: an entry expires after three
 /// missed heartbeats of more than one second each, so no entry expires in a shorter outage.
 const OUTAGE_MIN: Duration = Duration::from_secs(2);
-/// Longest time to a response of the store, in addition to the poll wait. Calls time out sooner, so
+/// Maximum time to a response of the store, in addition to the poll wait. Calls time out sooner, so
 /// a call that took longer was answered in time but its response was read late.
 const STORE_RESPONSE_MAX: Duration = Duration::from_secs(1);
 
--- a/src/gateway/store_follower.rs
+++ b/src/gateway/store_follower.rs
@@ -19,15 +19,15 @@
 
 /// Initial pause after a failed call.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(100);
-/// Longest pause after a failed call. Readers notice a recovery of the store within this time and
+/// Maximum pause after a failed call. Readers notice a recovery of the store within this time and
 /// other instances within twice that, well before the shortest deadline for catching up, three
 /// seconds.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(600);
-/// Longest pause while a subject has no data. Callers are waiting, and in an outage the reads
+/// Maximum pause while a subject has no data. Callers are waiting, and in an outage the reads
 /// before the pause already take half a second.
 const PAUSE_WITHOUT_DATA_MAX: Duration = Duration::from_millis(50);
 
-/// Longest wait for the members. When a whole site starts, its members are known after about this
+/// Maximum wait for the members. When a whole site starts, its members are known after about this
 /// time.
 const MEMBERS_WAIT_MAX: Duration = Duration::from_millis(300);
 /// Time within which an available store returns the list of members. After it, one live peer
@@ -97,9 +97,9 @@
     let started_at = gateway.now();
     loop {
         let waited = gateway.now().saturating_sub(started_at);
-        let is_listed = !gateway.store.has_no_data(Subject::Members);
-        let has_met_member = waited >= MEMBERS_LIST_WAIT && gateway.live_instance_count() >= 2;
-        if is_listed || has_met_member || waited >= MEMBERS_WAIT_MAX {
+        let has_member_list = !gateway.store.has_no_data(Subject::Members);
+        let has_live_peer = waited >= MEMBERS_LIST_WAIT && gateway.live_instance_count() >= 2;
+        if has_member_list || has_live_peer || waited >= MEMBERS_WAIT_MAX {
             return;
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
