--- a/src/gateway/app.rs
+++ b/src/gateway/app.rs
@@ -119,7 +119,7 @@
                 .add_service(service)
                 .serve_with_incoming(incoming);
             if let Err(error) = served.await {
-                spdlog::error!("peer server failed: {}", error);
+                spdlog::error!("server for peers failed: {}", error);
             }
         }));
         let listener_kinds = [
@@ -209,7 +209,7 @@
                 routing.stop_within().saturating_sub(STOP_MARGIN),
             )
         };
-        *gateway.ends_at.lock() = Some(started_at + timeout);
+        *gateway.exit_deadline.lock() = Some(started_at + timeout);
         gateway.in_flight.mark_leaving();
         heartbeat::send_heartbeats(gateway);
         loop {
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -26,7 +26,7 @@
 
 /// Timeout for a request to the issuer, which is normally reachable within milliseconds.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
-/// Pause before the issuer is asked again after it did not answer, or considered another instance
+/// Pause before another request to an issuer that did not answer, or considered another instance
 /// to be the issuer.
 const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Maximum wait for a permit that a running generation needs.
@@ -193,13 +193,14 @@
         is_valid
     }
 
-    /// Evicts expired permits, and limits of unknown endpoints.
+    /// Evicts expired permits, limits of unknown endpoints, and what this instance issued for
+    /// endpoints without a limit.
     pub(super) fn prune(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
         self.limits.lock().prune(is_known, now);
         self.requested.lock().prune(now);
-        let limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
-        self.issuer.lock().prune(limited);
+        let is_limited = |endpoint: &str| self.limit_per_s(endpoint).is_some();
+        self.issuer.lock().prune(is_limited);
     }
 }
 
@@ -236,11 +237,11 @@
         let Some(known) = known else {
             return Some(new_permit(permits, endpoint, None));
         };
-        let kept = permits.requested.lock().take_unused(endpoint, requested_at);
-        if let Some(expires_at) = kept {
-            let mut kept = new_permit(permits, endpoint, None);
-            kept.expires_at = Some(expires_at);
-            return Some(kept);
+        let unused_until = permits.requested.lock().take_unused(endpoint, requested_at);
+        if let Some(expires_at) = unused_until {
+            let mut permit = new_permit(permits, endpoint, None);
+            permit.expires_at = Some(expires_at);
+            return Some(permit);
         }
         if permits.denied_until(endpoint).is_some() {
             return None;
