--- a/src/gateway/coordinator.rs
+++ b/src/gateway/coordinator.rs
@@ -180,8 +180,8 @@
 /// call.
 fn refresh_engines(gateway: &Gateway, service: &str, shard: &mut ServiceShard) {
     let Some(table) = gateway.table() else { return };
-    let engine_shape = table.service(service).and_then(|service| service.engine);
-    let Some(engine_shape) = engine_shape else {
+    let capabilities = table.service(service).and_then(|service| service.engine);
+    let Some(capabilities) = capabilities else {
         return;
     };
     let cold_start = table
@@ -210,15 +210,15 @@
         let listed = |(entry, availability): (&EndpointEntry, Availability)| ListedEngine {
             id: entry.id.clone(),
             hall: entry.hall.clone(),
-            slots: engine_shape.slots,
-            memory_tokens: engine_shape.memory_tokens,
+            slots: capabilities.slots,
+            memory_tokens: capabilities.memory_tokens,
             leaving: availability == Availability::Leaving,
             // Generations in an evacuated hall finish where they run. Moving them, as is done off
-            // leaving engines, overloads the other halls: it cost 0.024 of worth (+-0.008) on a day
-            // on which two halls are evacuated and 0.010 (+-0.005) on one with a loss of all
-            // instances, four paired seeds each.
+            // leaving engines, overloads the other halls: it lowered the score by 0.024 (+-0.008) on
+            // a day on which two halls are evacuated and by 0.010 (+-0.005) on one with a loss of
+            // all instances, four paired seeds each.
             closed: !fleet.can_accept_work(&entry.id),
-            moves: engine_shape.supports_migration,
+            moves: capabilities.supports_migration,
             cold: cold_start.map(|cold_start| ColdLimit {
                 until: fleet.cold_until(&entry.id),
                 share_per_s: cold_start.share_per_s(sender),
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -142,7 +142,7 @@
 
 /// Records that an endpoint responded to a request with success and still runs: the request does
 /// not crash endpoints.
-pub(super) fn record_survived(call: &Call, endpoint: &EndpointEntry) {
+pub(super) fn record_survival(call: &Call, endpoint: &EndpointEntry) {
     if !may_be_known(call) {
         return;
     }
@@ -161,8 +161,8 @@
     }
 }
 
-/// Records that an engine has run a generation beyond its beginning.
-pub(super) fn record_progress(call: &Call) {
+/// Records that an engine has run a generation past its start window.
+pub(super) fn record_ran_past_start(call: &Call) {
     if !may_be_known(call) {
         return;
     }
@@ -183,7 +183,7 @@
         endpoint: &EndpointEntry,
         ran_for: Duration,
     ) {
-        let end = EndpointCrash {
+        let crash = EndpointCrash {
             endpoint: short_hash(&endpoint.id),
             software: software(endpoint),
             at_start: ran_for < START_WINDOW,
@@ -191,7 +191,7 @@
         let change = self
             .suspects
             .lock()
-            .record_crash(fingerprint, end, self.now());
+            .record_crash(fingerprint, crash, self.now());
         self.handle_suspect_change(fingerprint, change, "seen here");
         if change != SuspectChange::None {
             // The caller may retry at once at any instance. With regular heartbeats each 0.5 s, 14
@@ -230,8 +230,8 @@
     }
 
     /// Merges a suspect that the store holds.
-    pub(super) fn merge_stored_suspect(&self, kept: &StoredSuspect) {
-        let received = kept.report_at(self.clock.unix_time());
+    pub(super) fn merge_stored_suspect(&self, stored: &StoredSuspect) {
+        let received = stored.report_at(self.clock.unix_time());
         let change = {
             let mut suspects = self.suspects.lock();
             let change = suspects.merge(&received, self.now());
@@ -311,8 +311,8 @@
         (suspects.due_for_store(is_keeper, now), expired)
     };
     for suspect in unsaved {
-        let kept = StoredSuspect::new(suspect.clone(), gateway.clock.unix_time());
-        let written = gateway.store.store_suspect(&kept).await;
+        let stored = StoredSuspect::new(suspect.clone(), gateway.clock.unix_time());
+        let written = gateway.store.store_suspect(&stored).await;
         written.map_err(|error| error.to_string())?;
         gateway.suspects.lock().mark_stored(&suspect);
     }
--- a/src/gateway/endpoint_cooldowns.rs
+++ b/src/gateway/endpoint_cooldowns.rs
@@ -42,8 +42,8 @@
     /// Returns the endpoints that are cooling down.
     pub(crate) fn cooling_down_endpoints(&self) -> BTreeSet<String> {
         let now = self.now();
-        let rests = self.endpoint_signals.cooldowns.lock();
-        rests.cooling_down(now).map(str::to_owned).collect()
+        let cooldowns = self.endpoint_signals.cooldowns.lock();
+        cooldowns.cooling_down(now).map(str::to_owned).collect()
     }
 }
 
@@ -59,7 +59,7 @@
 ///
 /// If all endpoints have left during an outage of the endpoint list, new ones become known only
 /// after the outage.
-pub(super) fn cooldown_outlook(
+pub(super) fn service_availability(
     call: &Call,
     is_excluded: impl Fn(&EndpointEntry) -> bool,
     wait_until: Duration,
@@ -100,7 +100,7 @@
 /// Returns the delay after which a caller may retry if no endpoint of the service is available for
 /// now; `None` if one is available or may become known at any moment.
 pub(super) fn retry_after_cooldown(call: &Call) -> Option<Duration> {
-    match cooldown_outlook(call, |_| false, Duration::ZERO) {
+    match service_availability(call, |_| false, Duration::ZERO) {
         ServiceAvailability::Available => None,
         ServiceAvailability::AvailableAt { at: until }
         | ServiceAvailability::Unavailable { until } => {
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -11,7 +11,7 @@
 use crate::kernel::response_time::ResponseTimeEstimate;
 
 /// Returns a random endpoint that was not tried, drawn by weight; `None` if all were tried, are
-/// cooling down or are rate-limited.
+/// cooling down, are rate-limited, or are cold and have had their share of calls.
 ///
 /// `initial_response_time` is the response-time estimate of a service that has not responded yet.
 pub(super) fn select_endpoint(
@@ -32,10 +32,10 @@
     };
     let cold = cold_start_shares(call, &candidates, now);
     {
-        let gate = gateway.cold_rate_limiter.lock();
+        let rate_limiter = gateway.cold_rate_limiter.lock();
         candidates.retain(|entry| {
             let share = cold.get(&entry.id);
-            share.is_none_or(|share| gate.can_send(&entry.id, *share, now))
+            share.is_none_or(|share| rate_limiter.can_send(&entry.id, *share, now))
         });
     }
     let selected = draw_weighted(call, candidates, initial_response_time, now)?;
@@ -69,8 +69,8 @@
         return HashMap::new();
     }
     let members = gateway.members.lock();
-    let counted = members.recently_reachable(now);
-    let other_instances: Vec<&str> = counted
+    let reachable = members.recently_reachable(now);
+    let other_instances: Vec<&str> = reachable
         .map(|peer| peer.status.incarnation.name.as_str())
         .collect();
     let own_name = &gateway.incarnation.name;
@@ -91,11 +91,12 @@
 ) -> Option<EndpointEntry> {
     let gateway = &call.gateway;
     let weights: Vec<f64> = {
-        let late_after = gateway
+        let overdue_after = gateway
             .response_time(&call.service, initial_response_time)
             .overdue();
         let health = gateway.health.lock();
-        let weight = |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, late_after, now);
+        let weight =
+            |entry: &EndpointEntry| health.weight(&entry.id, entry.slots, overdue_after, now);
         candidates.iter().map(weight).collect()
     };
     let total: f64 = weights.iter().sum();
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -15,7 +15,7 @@
 /// Interval between two rounds of polling. Engines announce that they leave at least 1.5 s ahead,
 /// and their reports show it with a delay of 0.6 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest wait for a report.
+/// Maximum wait for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Largest accepted report.
 const REPORT_MAX_BYTES: usize = 256 << 10;
@@ -25,9 +25,9 @@
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         let age = gateway.store.data_age(Subject::Endpoints);
-        let silent_after = gateway.routing.read().freshness().store_timeout();
+        let store_timeout = gateway.routing.read().freshness().store_timeout();
         let is_store_unavailable = gateway.store.is_store_unavailable(Subject::Endpoints);
-        if age.is_none_or(|age| age < silent_after && !is_store_unavailable) {
+        if age.is_none_or(|age| age < store_timeout && !is_store_unavailable) {
             continue;
         }
         for engine in coordinator::owned_running_engines(&gateway) {
@@ -61,7 +61,7 @@
         return None;
     }
     let read = tokio::time::timeout(timeout, fetch_report(gateway, engine)).await;
-    let read = read.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+    let read = read.unwrap_or_else(|_| Err("no response in time".to_owned()));
     if let Err(reason) = &read
         && crate::log::should_log("engine report not read")
     {
@@ -75,7 +75,7 @@
         engine::build_report_request(engine.address).map_err(|error| error.to_string())?;
     metrics::counter!("larkwick_engine_reports_total").increment(1);
     let permit = gateway.request_permit(&engine.service, &engine.id).await;
-    let permit = permit.ok_or("the engine takes no more for now")?;
+    let permit = permit.ok_or("no permit for the engine")?;
     let upstream = &gateway.upstream;
     let response = upstream.send_control_request(engine, request, REPORT_MAX_BYTES, permit);
     let (_, body) = response.await?;
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -46,8 +46,8 @@
 const RETRY_AFTER_MAX_DIVISOR: u32 = 3;
 /// Prior for how long engines stay full once they are.
 ///
-/// With a `Retry-After` of 1 s, 90 of 1,450 generations were refused for good instead of 55, and
-/// 0.016 of worth was lost (two days of bursts and dead engines, six seeds each).
+/// With a `Retry-After` of 1 s, 90 of 1,450 generations were finally refused instead of 55, and the
+/// score fell by 0.016 (two days with bursts and dead engines, six seeds each).
 const EXPECTED_OVERLOAD_DURATION: Duration = Duration::from_secs(5);
 /// Lower end of the random `Retry-After`, as a share of its upper end. The spread keeps callers
 /// from retrying at the same moment.
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns what the owner has to know to place the generation.
+/// Returns the demand from which the owner places the generation.
 fn run_demand(call: &Call) -> RunDemand {
     let tokens = call.head.tokens.as_ref();
     RunDemand {
@@ -97,9 +97,9 @@
         /// Whether the connection was refused at the engine's address.
         connection_refused: bool,
     },
-    /// The request became a refused crash suspect since its placement. Nothing was sent.
-    Withheld,
-    /// The engine started a cooldown since the placement. Nothing was sent.
+    /// The request became a refused crash suspect after its placement. Nothing was sent.
+    CrashSuspected,
+    /// The engine entered a cooldown after the placement. Nothing was sent.
     CoolingDown,
     /// The rate limit that the engine announces for all instances is used up. Nothing was sent.
     RateLimited,
@@ -117,7 +117,7 @@
     fn reason(&self) -> String {
         match self {
             Self::Refused { reason, .. } | Self::Unsent { reason, .. } => reason.clone(),
-            Self::Withheld => "endpoints end under it".to_owned(),
+            Self::CrashSuspected => "endpoints end under it".to_owned(),
             Self::CoolingDown => "the engine rests".to_owned(),
             Self::RateLimited => "the engine takes no more for now".to_owned(),
             Self::ErrorResponse(attempt_response) => format!(
@@ -157,7 +157,7 @@
             Err(AttemptFailure::Refused { .. }) => (1, 0),
             Err(
                 AttemptFailure::Unsent { .. }
-                | AttemptFailure::Withheld
+                | AttemptFailure::CrashSuspected
                 | AttemptFailure::CoolingDown
                 | AttemptFailure::RateLimited
                 | AttemptFailure::Fatal(_),
@@ -256,7 +256,7 @@
         let failure = match result {
             Ok(attempt_response) => return Ok(attempt_response.into_started(attempts)),
             Err(
-                AttemptFailure::Withheld
+                AttemptFailure::CrashSuspected
                 | AttemptFailure::CoolingDown
                 | AttemptFailure::RateLimited,
             ) => continue,
@@ -293,7 +293,7 @@
         match failure {
             AttemptFailure::Refused { .. }
             | AttemptFailure::Unsent { .. }
-            | AttemptFailure::Withheld
+            | AttemptFailure::CrashSuspected
             | AttemptFailure::CoolingDown
             | AttemptFailure::RateLimited => false,
             AttemptFailure::ErrorResponse(attempt_response) => {
@@ -355,7 +355,7 @@
     let gateway = &call.gateway;
     let wait_deadline = gateway.now().saturating_add(wait);
     let is_excluded = |engine: &EndpointEntry| attempts.excluded.contains(&engine.id);
-    match endpoint_cooldowns::cooldown_outlook(call, is_excluded, wait_deadline) {
+    match endpoint_cooldowns::service_availability(call, is_excluded, wait_deadline) {
         ServiceAvailability::Available => true,
         ServiceAvailability::AvailableAt { at } => {
             gateway.sleep_until(at).await;
@@ -384,10 +384,10 @@
     let left = call.time_left();
     let can_try_another = call.route.resumable && attempts.runs + 1 < call.route.attempts_max;
     if can_try_another {
-        let pace = call
+        let first_event_time = call
             .gateway
             .response_time(&call.service, INITIAL_FIRST_EVENT_TIME);
-        left.saturating_sub(pace.typical())
+        left.saturating_sub(first_event_time.typical())
     } else {
         left
     }
@@ -475,12 +475,12 @@
     };
     let endpoint = endpoint.ok_or_else(|| unsent("engine unknown here"))?;
     let (run_guard, commands) = register_run(call, demand, &endpoint);
-    let open_max = gateway.connections_max(&call.table, &call.service);
+    let max_open = gateway.connections_max(&call.table, &call.service);
     // A generation is sent once, so it would be lost on a pooled connection that is dead. A new
     // connection costs one round trip of the latency objective.
     let connection = gateway
         .upstream
-        .acquire_connection(&endpoint, open_max, ConnectionReuse::Never)
+        .acquire_connection(&endpoint, max_open, ConnectionReuse::Never)
         .await;
     let connection = connection.map_err(|error| AttemptFailure::Unsent {
         reason: error.to_string(),
@@ -578,7 +578,7 @@
         return Err(AttemptFailure::CoolingDown);
     }
     if !restricted && crash_suspects::current_verdict(call) == Verdict::Refused {
-        return Err(AttemptFailure::Withheld);
+        return Err(AttemptFailure::CrashSuspected);
     }
     if call.time_left().is_zero() {
         return Err(unsent("no time left"));
--- a/src/gateway/held_calls.rs
+++ b/src/gateway/held_calls.rs
@@ -1,5 +1,5 @@
 //! Holds calls that arrive before this instance knows the configuration and the endpoints, since
-//! both are usually about to arrive.
+//! it usually learns both within a short time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -10,9 +10,9 @@
 use super::message_heads::CallHead;
 use super::node::Gateway;
 
-/// Part of the time of a caller that is reserved for serving its call after the hold. 98% of the
-/// calls of plain services took less than 89 ms on a quiet day; 95% took less than 72 ms on a day
-/// with a loss of all instances.
+/// Time before the caller's deadline that is reserved for serving its call after the hold. 98% of
+/// the calls of plain services took less than 89 ms on a quiet day; 95% took less than 72 ms on a
+/// day with a loss of all instances.
 const SERVING_TIME_RESERVE: Duration = Duration::from_millis(120);
 /// Maximum number of calls held at once. Bounds the memory during startup; far above the 20 calls
 /// that waited together on one instance.
@@ -60,23 +60,23 @@
 
     fn begin_hold(&self) -> Option<HeldCallGuard<'_>> {
         let before = self.held.fetch_add(1, Ordering::Relaxed);
-        let held = HeldCallGuard(&self.held);
+        let guard = HeldCallGuard(&self.held);
         if before >= CALLS_HELD_MAX {
             return None;
         }
         self.held_total.fetch_add(1, Ordering::Relaxed);
-        Some(held)
+        Some(guard)
     }
 
     /// Waits until the instance is ready, for at most `max_wait`.
     async fn wait(&self, gateway: &Gateway, max_wait: Duration) {
-        let Some(_held) = self.begin_hold() else {
+        let Some(_guard) = self.begin_hold() else {
             return;
         };
         let mut is_ready = self.is_ready.subscribe();
-        let waited = gateway.wait_for(max_wait, is_ready.wait_for(|is_ready| *is_ready));
-        // The caller checks the readiness itself afterwards.
-        let _ = waited.await;
+        let wait = gateway.wait_for(max_wait, is_ready.wait_for(|is_ready| *is_ready));
+        // Whether the instance became ready is checked afterwards, when the call is routed.
+        let _ = wait.await;
     }
 }
 
--- a/src/gateway/inbound_call.rs
+++ b/src/gateway/inbound_call.rs
@@ -33,7 +33,7 @@
     /// not hashed.
     pub(crate) fingerprint: OnceLock<RequestFingerprint>,
     /// Delays the shutdown of the instance until the call ends.
-    pub(crate) _counted: InFlightGuard,
+    pub(crate) _in_flight_guard: InFlightGuard,
 }
 
 impl Call {
--- a/src/gateway/moves.rs
+++ b/src/gateway/moves.rs
@@ -1,5 +1,5 @@
-//! Moves a generation to another engine: its memory is copied while it runs, then it is stopped and
-//! the remainder is copied.
+//! Moves a generation to another engine: its KV-cache memory is copied while it runs, then it is
+//! stopped and the remainder is copied.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     order: &wire::MoveRunRequest,
 ) -> (MoveResult, String) {
     let Some(run) = gateway.runs.get(&order.run) else {
-        return (MoveResult::RunGone, "not served here".to_owned());
+        return (MoveResult::RunGone, "generation not served here".to_owned());
     };
     let (source, target) = {
         let fleet = gateway.fleet.lock();
@@ -42,10 +42,13 @@
         return (MoveResult::NoRoom, "engine unknown or leaving".to_owned());
     };
     if gateway.is_cooling_down(&target.id) {
-        return (MoveResult::NoRoom, "the target rests".to_owned());
+        return (MoveResult::NoRoom, "the target is cooling down".to_owned());
     }
     if run.endpoint.lock().id != source.id {
-        return (MoveResult::Failed, "it runs elsewhere".to_owned());
+        return (
+            MoveResult::Failed,
+            "the generation runs at another engine".to_owned(),
+        );
     }
     let counted = order.target_counted;
     match copy_memory(gateway, &run, &source, &target, false).await {
@@ -101,9 +104,9 @@
     }
 }
 
-fn copy_failure(copied: Result<CopyOutcome, String>) -> (MoveResult, String) {
-    match copied {
-        Ok(CopyOutcome::NoRoom(_)) => (MoveResult::NoRoom, "no room".to_owned()),
+fn copy_failure(outcome: Result<CopyOutcome, String>) -> (MoveResult, String) {
+    match outcome {
+        Ok(CopyOutcome::NoRoom(_)) => (MoveResult::NoRoom, "no memory at the target".to_owned()),
         Ok(other) => (MoveResult::Failed, format!("{other:?}")),
         Err(reason) => (MoveResult::Failed, reason),
     }
@@ -123,13 +126,13 @@
     stop: bool,
 ) -> Result<CopyOutcome, String> {
     if !gateway.try_admit_exempt(&source.id) {
-        return Err("the engine rests".to_owned());
+        return Err("the engine is cooling down".to_owned());
     }
     let request = engine::build_move_request(source.address, &run.demand.run, target.address, stop)
         .map_err(|error| error.to_string())?;
     let call = async {
         let permit = gateway.wait_for_permit(&source.service, &source.id).await;
-        let permit = permit.ok_or("the engine takes no more for now")?;
+        let permit = permit.ok_or("no permit for the engine")?;
         let upstream = &gateway.upstream;
         let response = upstream.send_control_request(source, request, RESPONSE_MAX_BYTES, permit);
         let (status, body) = response.await?;
@@ -137,5 +140,5 @@
     };
     tokio::time::timeout(COPY_TIMEOUT, call)
         .await
-        .map_err(|_| "no answer in time".to_owned())?
+        .map_err(|_| "no response to the copy request in time".to_owned())?
 }
--- a/src/gateway/ownership.rs
+++ b/src/gateway/ownership.rs
@@ -42,8 +42,8 @@
 /// Records whether the owner of a service answered a call.
 ///
 /// An instance that is cut off from the owner acts alone until the owner answers: waiting for the
-/// owner at each generation would delay all of them, and nobody else moves the generations that
-/// this instance serves off leaving engines.
+/// owner at each generation would delay all of them, and no other instance moves the generations
+/// that this instance serves off leaving engines.
 pub(super) fn record_owner_call(gateway: &Gateway, service: &str, answered: bool) {
     let now = gateway.now();
     let has_changed = gateway
--- a/src/gateway/plain_call.rs
+++ b/src/gateway/plain_call.rs
@@ -55,7 +55,8 @@
 
 /// Outcome of an attempt at one endpoint.
 enum Attempt {
-    Answered(BufferedResponse),
+    /// The endpoint sent a valid response.
+    Responded(BufferedResponse),
     /// The endpoint declared that it did not run the request, or nothing was sent.
     NotRun(String),
     /// The request fingerprint became refused after the endpoint was selected, because it crashes
@@ -85,8 +86,7 @@
     error_response: Option<BufferedResponse>,
     timed_out: bool,
     last_reason: String,
-    /// Whether the request fingerprint crashes endpoints, so that only endpoints with selected
-    /// other software may run it.
+    /// Whether the request is a crash suspect that only endpoints with other software may run.
     restricted: bool,
 }
 
@@ -97,9 +97,9 @@
     let result = run_attempts(&call, &mut attempts).await;
     let took_ms = millis(call.age());
     let (response, outcome) = match result {
-        Ok(answer) => {
-            let status = answer.parts.status.as_u16();
-            (into_response(answer), format!("answered {status}"))
+        Ok(buffered) => {
+            let status = buffered.parts.status.as_u16();
+            (into_response(buffered), format!("answered {status}"))
         }
         Err(error) => {
             let response = ingress::error_response(&error).map(full_body);
@@ -123,10 +123,10 @@
     response
 }
 
-fn into_response(answer: BufferedResponse) -> Response<ResponseBody> {
-    let mut response = Response::new(full_body(answer.body));
-    *response.status_mut() = answer.parts.status;
-    *response.headers_mut() = engine::caller_response_headers(&answer.parts);
+fn into_response(buffered: BufferedResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(buffered.body));
+    *response.status_mut() = buffered.parts.status;
+    *response.headers_mut() = engine::caller_response_headers(&buffered.parts);
     response
 }
 
@@ -157,13 +157,13 @@
             call.gateway.health.lock().record_absent(&endpoint.id, now);
         }
         match attempt {
-            Attempt::Answered(answer) => {
-                let failed = answer.parts.status.is_server_error();
+            Attempt::Responded(response) => {
+                let failed = response.parts.status.is_server_error();
                 if !(failed && repeatable && may_retry(call, attempts)) {
-                    return Ok(answer);
+                    return Ok(response);
                 }
-                attempts.last_reason = format!("endpoint answered {}", answer.parts.status);
-                attempts.error_response = Some(answer);
+                attempts.last_reason = format!("endpoint answered {}", response.parts.status);
+                attempts.error_response = Some(response);
             }
             Attempt::NotRun(reason) => attempts.last_reason = reason,
             Attempt::CrashSuspected => {
@@ -205,7 +205,7 @@
         }
     }
     match attempts.error_response.take() {
-        Some(answer) => Ok(answer),
+        Some(response) => Ok(response),
         None => Err(failure_error(call, attempts)),
     }
 }
@@ -235,7 +235,7 @@
             .typical();
         let wait_until = (call.arrived + call.route.latency_objective).saturating_sub(typical);
         let is_tried = |endpoint: &EndpointEntry| tried.contains(&endpoint.id);
-        match endpoint_cooldowns::cooldown_outlook(call, is_tried, wait_until) {
+        match endpoint_cooldowns::service_availability(call, is_tried, wait_until) {
             ServiceAvailability::AvailableAt { at } => gateway.sleep_until(at).await,
             ServiceAvailability::Available | ServiceAvailability::Unavailable { .. } => {
                 return None;
@@ -320,8 +320,8 @@
 fn endpoint_failure(attempt: &Attempt) -> Option<bool> {
     match attempt {
         // Server errors say little about the health of an endpoint: some calls fail everywhere.
-        Attempt::Answered(answer) if answer.parts.status.is_server_error() => None,
-        Attempt::Answered(_) => Some(false),
+        Attempt::Responded(response) if response.parts.status.is_server_error() => None,
+        Attempt::Responded(_) => Some(false),
         Attempt::CrashSuspected | Attempt::CoolingDown | Attempt::RateLimited => None,
         Attempt::NotRun(_) | Attempt::Misdirected | Attempt::MayHaveRun(_) | Attempt::TimedOut => {
             Some(true)
@@ -351,7 +351,7 @@
         Ok(connection) => connection,
         Err(error) => return Attempt::NotRun(error.to_string()),
     };
-    // The endpoint may have started to leave since it was selected.
+    // An update that the endpoint is leaving may have arrived since it was selected.
     if !gateway.fleet.lock().can_accept_work(&endpoint.id) {
         return Attempt::NotRun("the endpoint is leaving".to_owned());
     }
@@ -421,8 +421,8 @@
             Attempt::TimedOut
         }
     };
-    if matches!(&attempt, Attempt::Answered(answer) if answer.parts.status.is_success()) {
-        crash_suspects::record_survived(call, endpoint);
+    if matches!(&attempt, Attempt::Responded(response) if response.parts.status.is_success()) {
+        crash_suspects::record_survival(call, endpoint);
     }
     if !matches!(
         attempt,
@@ -434,8 +434,8 @@
 }
 
 /// Waits for a response. If it is overdue on a reused connection, restricts the reuse of the other
-/// idle connections of the service, which may have gone silent as well. The wait itself goes on: a
-/// call that cannot be retried waits until its deadline.
+/// idle connections of the service, which may have gone silent as well, and keeps waiting: a call
+/// that cannot be retried waits until its deadline.
 async fn await_response<T>(
     idle_connections: Option<&ServiceIdleConnections>,
     overdue_after: Duration,
@@ -461,10 +461,11 @@
         && attempts.may_have_run + 1 < call.route.attempts_max
         && endpoint_cooldowns::has_untried_endpoint(call, &attempts.tried);
     if can_retry {
-        let pace = call
+        let response_time = call
             .gateway
             .response_time(&call.service, INITIAL_RESPONSE_TIME);
-        time_left.min(pace.timeout(call.route.latency_objective.saturating_sub(call.age())))
+        time_left
+            .min(response_time.timeout(call.route.latency_objective.saturating_sub(call.age())))
     } else {
         time_left
     }
@@ -508,7 +509,7 @@
         let reason = "the answer is not the endpoint's own".to_owned();
         return Err(SendError::MayHaveRun(reason));
     }
-    Ok(Attempt::Answered(BufferedResponse {
+    Ok(Attempt::Responded(BufferedResponse {
         parts,
         body: body.to_bytes(),
     }))
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -64,7 +64,7 @@
     has_ended: bool,
 }
 
-/// Outcome of waiting for the stream once.
+/// Result of one wait for the stream or a command.
 enum Step {
     /// Events to forward.
     Events(Bytes),
@@ -74,7 +74,7 @@
     Stalled,
     /// The stream broke.
     Aborted(String),
-    /// The generation continues with its memory at an engine.
+    /// The generation continues from its KV-cache memory at an engine.
     Continue(Box<Continuation>),
     /// The generation is restarted from the prompt; forwarding continues after the last forwarded
     /// event.
@@ -218,7 +218,7 @@
         let first_event_at = *self.first_event_at.get_or_insert(now);
         if !self.ran_past_start && now.saturating_sub(first_event_at) > START_WINDOW {
             self.ran_past_start = true;
-            crash_suspects::record_progress(&self.call);
+            crash_suspects::record_ran_past_start(&self.call);
         }
         let generated = self.events.saturating_mul(self.event_tokens);
         let run = &self.run_guard.run;
@@ -423,7 +423,7 @@
     fn finish(&mut self) {
         self.has_ended = true;
         let engine = self.run_guard.run.endpoint.lock().clone();
-        crash_suspects::record_survived(&self.call, &engine);
+        crash_suspects::record_survival(&self.call, &engine);
         record_generation_end(&self.call, "whole", "", self.events, self.moves);
         self.source = None;
     }
--- a/src/gateway/request_handler.rs
+++ b/src/gateway/request_handler.rs
@@ -135,7 +135,7 @@
         arrived,
         deadline,
         fingerprint: OnceLock::new(),
-        _counted: in_flight_guard,
+        _in_flight_guard: in_flight_guard,
     })
 }
 
--- a/src/gateway/runs.rs
+++ b/src/gateway/runs.rs
@@ -19,7 +19,7 @@
     pub(crate) target: EndpointEntry,
     /// Address of the engine that the copy is named after.
     pub(crate) copy_address: std::net::SocketAddr,
-    /// Name of the memory copy.
+    /// Name of the KV-cache copy.
     pub(crate) copy: String,
     /// Whether the continuation was counted against the rate limit that the engine announces.
     pub(crate) counted: bool,
@@ -85,12 +85,12 @@
     /// Removes a generation unless it was restarted meanwhile.
     pub(crate) fn remove(&self, handle: &Arc<RunHandle>) {
         let mut runs = self.runs.lock();
-        let name = &handle.demand.run;
+        let run = &handle.demand.run;
         if runs
-            .get(name)
+            .get(run)
             .is_some_and(|known| Arc::ptr_eq(known, handle))
         {
-            runs.remove(name);
+            runs.remove(run);
         }
     }
 
--- a/src/gateway/takeover.rs
+++ b/src/gateway/takeover.rs
@@ -1,7 +1,7 @@
-//! Takes over generations that still run at an engine although their connection is dead. An open
-//! connection may stop delivering data for good. The engine is asked to stop the generation, which
-//! is resumed with its memory on a new connection. Without this, it was cut at its caller's
-//! deadline or when the caller left.
+//! Takes over generations that still run at an engine although their connection is dead: an open
+//! connection may stop delivering data without an error. The engine is asked to stop the
+//! generation, which is resumed from its KV-cache memory on a new connection. Without this, the
+//! generation was cut off at its caller's deadline or when the caller left.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
     let request_id = &call.head.request_id;
     if report
         .generated_events(request_id)
-        .is_some_and(|made| made > received_events)
+        .is_some_and(|generated| generated > received_events)
     {
         ReportedState::AheadOfStream
     } else if report.is_done_with(request_id) {
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -149,7 +149,7 @@
 
 struct PooledConnection {
     connection: Connection,
-    since: Duration,
+    idle_since: Duration,
     idle_timeout: Duration,
 }
 
@@ -293,7 +293,7 @@
             let pool = pools.get_mut(&endpoint.id)?;
             let mut kept = Vec::new();
             for idle in pool.idle.drain(..).rev() {
-                let age = now.saturating_sub(idle.since);
+                let age = now.saturating_sub(idle.idle_since);
                 let is_expired = age >= idle.idle_timeout.min(max_idle_time);
                 if !idle.connection.sender.is_ready() || is_expired {
                     stale.push(idle);
@@ -347,7 +347,7 @@
         let endpoint = connection.open_guard.endpoint.clone();
         let idle = PooledConnection {
             connection,
-            since: self.clock.now(),
+            idle_since: self.clock.now(),
             idle_timeout,
         };
         let evicted = {
@@ -368,8 +368,8 @@
             for (endpoint, pool) in pools.iter_mut() {
                 let idle = std::mem::take(&mut pool.idle);
                 for idle_connection in idle {
-                    let is_fresh =
-                        now.saturating_sub(idle_connection.since) < idle_connection.idle_timeout;
+                    let is_fresh = now.saturating_sub(idle_connection.idle_since)
+                        < idle_connection.idle_timeout;
                     if is_fresh
                         && is_known(endpoint)
                         && idle_connection.connection.sender.is_ready()
@@ -470,7 +470,7 @@
         let (parts, body) = response.into_parts();
         let head = engine::decode_response_head(&parts);
         // All responses of endpoints pass here, so their endpoint signals are recorded whatever was
-        // requested. If each caller of `send` read them, signals would be lost.
+        // requested. If each caller of `send` recorded them itself, some would be missed.
         signals.record(&self.open_guard.endpoint, &head, sent_at);
         Ok(EndpointResponse {
             head,
