--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -22,20 +22,20 @@
     let site = RoutedSite::start(1).await;
     let instance = site.start_instance("n1").await;
     for number in 0..60 {
-        let answer = instance.call("/calls/a", &format!("quick-{number}")).await;
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = instance.call("/calls/a", &format!("quick-{number}")).await;
+        assert_eq!(response.status, 200, "{response:?}");
     }
     site.apps[0].set_fault(ServerFault::RespondsLate);
-    let answer = instance.call("/calls/a", "late").await;
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = instance.call("/calls/a", "late").await;
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn call_through_one_instance_answered_unchanged() {
     let site = RoutedSite::start(2).await;
     let instance = site.start_instance("n1").await;
-    let answer = instance.call("/calls/1", "a1").await;
-    assert_eq!((answer.status, answer.body.as_str()), (200, "hello"));
+    let response = instance.call("/calls/1", "a1").await;
+    assert_eq!((response.status, response.body.as_str()), (200, "hello"));
     let runs = site.standin.servers_that_ran("a1");
     assert_eq!(runs.len(), 1);
     let server = site
@@ -112,10 +112,10 @@
         .write_all(smuggled.as_bytes())
         .await
         .expect("written");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.expect("closed");
-    let answer = String::from_utf8_lossy(&answer);
-    assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer:?}");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await.expect("closed");
+    let response = String::from_utf8_lossy(&response);
+    assert_eq!(response.matches("HTTP/1.1").count(), 1, "{response:?}");
     assert!(site.standin.servers_that_ran("s2").is_empty());
 }
 
@@ -126,9 +126,9 @@
         app.set_fault(ServerFault::RunsAndCloses);
     }
     let instance = site.start_instance("n1").await;
-    let answer = instance.call("/once/1", "o1").await;
+    let response = instance.call("/once/1", "o1").await;
     // Must be neither 429 nor 503: those promise that the request did not run.
-    assert_eq!(answer.status, 502);
+    assert_eq!(response.status, 502);
     assert_eq!(site.standin.servers_that_ran("o1").len(), 1);
 }
 
@@ -144,8 +144,8 @@
         let id = format!("w{number}");
         send_request(instance.request("/once/1", &id))
     });
-    for answer in futures::future::join_all(together).await {
-        assert_eq!(answer.status, 200);
+    for response in futures::future::join_all(together).await {
+        assert_eq!(response.status, 200);
     }
     let mut statuses = Vec::new();
     for number in 0..4 {
@@ -180,9 +180,9 @@
     let site = RoutedSite::start(1).await;
     site.apps[0].set_fault(ServerFault::Refuses);
     let instance = site.start_instance("n1").await;
-    let answer = instance.call("/once/1", "n1").await;
-    assert_eq!(answer.status, 503);
-    assert!(answer.retry_after.is_some_and(|seconds| seconds > 0.0));
+    let response = instance.call("/once/1", "n1").await;
+    assert_eq!(response.status, 503);
+    assert!(response.retry_after.is_some_and(|seconds| seconds > 0.0));
     assert!(site.standin.servers_that_ran("n1").is_empty());
 }
 
@@ -200,9 +200,9 @@
         site.apps[0].set_fault(fault);
         let instance = site.start_instance("n1").await;
         for number in 0..6 {
-            let answer = instance.call("/calls/1", &format!("x{number}")).await;
+            let response = instance.call("/calls/1", &format!("x{number}")).await;
             assert_eq!(
-                (answer.status, answer.body.as_str()),
+                (response.status, response.body.as_str()),
                 (200, "hello"),
                 "{fault:?}"
             );
@@ -224,8 +224,8 @@
     let instance = site.start_instance("n1").await;
     site.apps[0].kill();
     for number in 0..20 {
-        let answer = instance.call("/once/1", &format!("d{number}")).await;
-        assert_eq!(answer.status, 200);
+        let response = instance.call("/once/1", &format!("d{number}")).await;
+        assert_eq!(response.status, 200);
     }
 }
 
@@ -299,9 +299,9 @@
     let site = RoutedSite::start(1).await;
     site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.start_instance_unready("n1");
-    let answer = instance.call("/calls/1", "w1").await;
-    assert_eq!(answer.status, 503);
-    assert!(answer.retry_after.is_some());
+    let response = instance.call("/calls/1", "w1").await;
+    assert_eq!(response.status, 503);
+    assert!(response.retry_after.is_some());
     assert!(!instance.is_ready().await);
     site.standin.store.set_fault(StoreFault::None);
     instance.wait_until_ready().await;
@@ -316,9 +316,9 @@
     let instance = site.start_instance_with_hold("n1", Duration::from_millis(10));
     // The first calls may arrive before the store has failed.
     wait_until("long retry-after", async || {
-        let answer = instance.call("/calls/1", "w2").await;
-        assert_eq!(answer.status, 503);
-        answer.retry_after.is_some_and(|seconds| seconds >= 2.0)
+        let response = instance.call("/calls/1", "w2").await;
+        assert_eq!(response.status, 503);
+        response.retry_after.is_some_and(|seconds| seconds >= 2.0)
     })
     .await;
     site.standin.store.set_fault(StoreFault::None);
@@ -334,10 +334,11 @@
     site.standin.store.set_fault(StoreFault::Busy);
     let instance = site.start_instance_with_hold("n1", WAIT_TIMEOUT);
     let caller = instance.caller();
-    let answer = tokio::spawn(async move { send_request(caller.request("/calls/1", "h1")).await });
+    let response =
+        tokio::spawn(async move { send_request(caller.request("/calls/1", "h1")).await });
     wait_until("held", async || instance.state().await["calls_held"] == 1).await;
     site.standin.store.set_fault(StoreFault::None);
-    assert_eq!(answer.await.expect("answered").status, 200);
+    assert_eq!(response.await.expect("answered").status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -445,8 +446,8 @@
     let generation = tokio::spawn(send_request(instance.generation(60, "g1")));
     wait_until("running", async || engine.running_count() == 1).await;
     instance.signal(Signal::SIGTERM);
-    let answer = generation.await.expect("answered");
-    assert!(answer.is_complete);
+    let response = generation.await.expect("answered");
+    assert!(response.is_complete);
     wait_until("ended", async || instance.exit_success() == Some(true)).await;
     wait_until("logged", async || instance.has_log_line("instance stopped")).await;
 }
@@ -641,7 +642,7 @@
 
 /// Guards against retry budgets whose shares add up to more than the whole budget. Each instance
 /// computed its share only once, at its first call: one that knew no other instance then kept the
-/// whole budget for good. After a loss of all instances, the shares of 62 instances added up to 7.6
+/// whole budget permanently. After a loss of all instances, the shares of 62 instances added up to 7.6
 /// times the budget (942 retries in 10 s, 802 allowed).
 ///
 /// Here the first instance knows no other when it is first called. With that fault, all instances
--- a/tests/site_generations.rs
+++ b/tests/site_generations.rs
@@ -8,11 +8,11 @@
 use nix::sys::signal::Signal;
 use support::site::{HttpResponse, RoutedSite, event_numbers, send_request, wait_until};
 
-fn assert_complete(answer: &HttpResponse, events: u32) {
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.is_complete, "{answer:?}");
+fn assert_complete(response: &HttpResponse, events: u32) {
+    assert_eq!(response.status, 200, "{response:?}");
+    assert!(response.is_complete, "{response:?}");
     let expected: Vec<u32> = (1..=events).collect();
-    assert_eq!(event_numbers(&answer.body), expected);
+    assert_eq!(event_numbers(&response.body), expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -20,8 +20,8 @@
     let site = RoutedSite::start(0).await;
     let engine = site.start_engine().await;
     let instance = site.start_instance("n1").await;
-    let answer = send_request(instance.generation(20, "g1")).await;
-    assert_complete(&answer, 20);
+    let response = send_request(instance.generation(20, "g1")).await;
+    assert_complete(&response, 20);
     assert_eq!(site.standin.servers_that_ran("g1"), [engine.id.as_str()]);
 }
 
@@ -50,8 +50,8 @@
         wait_until("generations moved", async || staying.running_count() == 3).await;
         leaving.kill();
         for (number, generation) in running.into_iter().enumerate() {
-            let answer = generation.await.expect("response received");
-            assert_complete(&answer, 80);
+            let response = generation.await.expect("response received");
+            assert_complete(&response, 80);
             let runs = site.standin.servers_that_ran(&format!("m{number}"));
             assert_eq!(runs, [leaving.id.as_str()]);
         }
@@ -103,8 +103,8 @@
     let running = tokio::spawn(send_request(instance.generation(400, "d1")));
     wait_until("generations running", async || engine.running_count() == 1).await;
     engine.kill();
-    let answer = running.await.expect("response received");
-    assert!(!answer.is_complete);
+    let response = running.await.expect("response received");
+    assert!(!response.is_complete);
     assert_eq!(site.standin.servers_that_ran("d1").len(), 1);
 }
 
@@ -128,11 +128,11 @@
     let engine = site.start_engine().await;
     engine.set_fault(ServerFault::Refuses);
     let instance = site.start_instance("n1").await;
-    let answer = send_request(instance.generation(5, "r1")).await;
-    assert_eq!(answer.status, 503);
+    let response = send_request(instance.generation(5, "r1")).await;
+    assert_eq!(response.status, 503);
     // The caller has 20 s left and retries only once: after one second the engines would still be
     // full.
-    let retry_after = answer.retry_after.expect("Retry-After present");
+    let retry_after = response.retry_after.expect("Retry-After present");
     assert!((2.9..=5.0).contains(&retry_after), "{retry_after}");
     assert!(site.standin.servers_that_ran("r1").is_empty());
 }
@@ -148,11 +148,11 @@
     let request = request
         .header("larkwick-request-id", "r2")
         .header("larkwick-deadline-ms", "6000");
-    let answer = send_request(request.header("larkwick-token-count", "1000,20")).await;
-    assert_eq!(answer.status, 503);
+    let response = send_request(request.header("larkwick-token-count", "1000,20")).await;
+    assert_eq!(response.status, 503);
     assert!(
-        answer.retry_after.is_some_and(|seconds| seconds <= 2.0),
-        "{answer:?}"
+        response.retry_after.is_some_and(|seconds| seconds <= 2.0),
+        "{response:?}"
     );
 }
 
@@ -161,13 +161,13 @@
     let site = RoutedSite::start(0).await;
     let engine = site.start_engine().await;
     let instance = site.start_instance("n1").await;
-    let mut answer = instance
+    let mut response = instance
         .generation(4000, "l1")
         .send()
         .await
         .expect("generation started");
-    answer.chunk().await.expect("an event received");
-    drop(answer);
+    response.chunk().await.expect("an event received");
+    drop(response);
     wait_until("generation ended at the engine", async || {
         engine.running_count() == 0
     })
@@ -243,9 +243,9 @@
     let request = instance.request("/check/9", "c1");
     let request = request.header("larkwick-model", "m");
     let request = request.header("larkwick-token-count", "1000,36");
-    let answer = send_request(request.header("last-event-id", "4")).await;
-    assert!(answer.is_complete, "{answer:?}");
-    assert_eq!(event_numbers(&answer.body), [5, 6, 7, 8, 9]);
+    let response = send_request(request.header("last-event-id", "4")).await;
+    assert!(response.is_complete, "{response:?}");
+    assert_eq!(event_numbers(&response.body), [5, 6, 7, 8, 9]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -282,8 +282,11 @@
             .set_fault(ServerFault::RunsAndCloses);
     }
     let instance = site.start_instance("n1").await;
-    let answer = send_request(instance.caller().resumable_generation(5, "c3")).await;
-    assert!(answer.status >= 500 && answer.status != 503, "{answer:?}");
+    let response = send_request(instance.caller().resumable_generation(5, "c3")).await;
+    assert!(
+        response.status >= 500 && response.status != 503,
+        "{response:?}"
+    );
     assert_eq!(site.standin.servers_that_ran("c3").len(), 2);
 }
 
@@ -296,7 +299,7 @@
             .set_fault(ServerFault::RunsAndCloses);
     }
     let instance = site.start_instance("n1").await;
-    let answer = send_request(instance.generation(5, "c4")).await;
-    assert_eq!(answer.status, 502);
+    let response = send_request(instance.generation(5, "c4")).await;
+    assert_eq!(response.status, 502);
     assert_eq!(site.standin.servers_that_ran("c4").len(), 1);
 }
