--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -37,8 +37,8 @@
 pub(super) enum Admission {
     /// It may be sent to any endpoint.
     Admitted,
-    /// The request has crashed endpoints. It may be sent to endpoints with other software that has
-    /// completed it, or that tries it once.
+    /// The request has crashed endpoints. It may be sent only to endpoints with other software that
+    /// has completed it or on which it is tried once.
     Restricted {
         /// Ids of the endpoints to which it must not be sent.
         excluded: Vec<String>,
--- a/src/gateway/endpoint_selection.rs
+++ b/src/gateway/endpoint_selection.rs
@@ -11,7 +11,7 @@
 use crate::kernel::response_time::ResponseTimeEstimate;
 
 /// Returns a random endpoint that was not tried, drawn by weight; `None` if all were tried, are
-/// cooling down, are rate-limited, or are cold and have had their share of calls.
+/// cooling down, are rate-limited, or are cold and have received their share of calls for now.
 ///
 /// `initial_response_time` is the response-time estimate of a service that has not responded yet.
 pub(super) fn select_endpoint(
--- a/src/gateway/runs.rs
+++ b/src/gateway/runs.rs
@@ -118,7 +118,8 @@
         runs.map(|run| run.to_report()).collect()
     }
 
-    /// Records an engine that did not accept a generation.
+    /// Records an engine that did not accept a generation; `is_gone` says that it no longer runs at
+    /// its address.
     pub(crate) fn record_unavailable_engine(&self, service: &str, endpoint: &str, is_gone: bool) {
         let mut unavailable = self.unavailable.lock();
         let unavailable = unavailable.entry(service.to_owned()).or_default();
--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -78,11 +78,11 @@
     let site = RoutedSite::start(1).await;
     let instance = site.start_instance("n1").await;
     assert_eq!(instance.call("/nowhere/1", "b1").await.status, 404);
-    let wrong_key = instance
+    let two_keys = instance
         .request("/calls/1", "b2")
         .header("api-key", "other");
     // Two keys in one request are as invalid as none.
-    assert_eq!(send_request(wrong_key).await.status, 400);
+    assert_eq!(send_request(two_keys).await.status, 400);
     let url = format!("http://{}/calls/1", instance.caller_address());
     let no_key = reqwest::Client::new()
         .post(url)
@@ -278,10 +278,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_down_serving_continues_and_catches_up() {
-    for mood in [StoreFault::Busy, StoreFault::Unresponsive] {
+    for fault in [StoreFault::Busy, StoreFault::Unresponsive] {
         let site = RoutedSite::start(1).await;
         let instance = site.start_instance("n1").await;
-        site.standin.store.set_fault(mood);
+        site.standin.store.set_fault(fault);
         wait_until("lost", async || instance.has_log_line("store lost")).await;
         assert_eq!(instance.call("/calls/1", "s1").await.status, 200);
         site.standin.publish(9, &[KEY]);
