--- a/tests/site_calls.rs
+++ b/tests/site_calls.rs
@@ -642,8 +642,8 @@
 
 /// Guards against retry budgets whose shares add up to more than the whole budget. Each instance
 /// computed its share only once, at its first call: one that knew no other instance then kept the
-/// whole budget permanently. After a loss of all instances, the shares of 62 instances added up to 7.6
-/// times the budget (942 retries in 10 s, 802 allowed).
+/// whole budget permanently. After a loss of all instances, the shares of 62 instances added up to
+/// 7.6 times the budget (942 retries in 10 s, 802 allowed).
 ///
 /// Here the first instance knows no other when it is first called. With that fault, all instances
 /// together made 102 retries where 84 are allowed.
