--- a/benches/crashing.rs
+++ b/benches/crashing.rs
@@ -1,9 +1,12 @@
-//! What a request that ends its engines costs, and whom the ways to find it refuse in error: `cargo bench --bench crashing`.
+//! Measures the cost of a request that crashes its engines, and how many other requests each
+//! detection strategy wrongly refuses: `cargo bench --bench crashing`.
 //!
-//! Simulated time; the kernel decides on engines and on contents, by what one instance knows at once. Twelve engines of 34,000 tokens that are back 3 s
-//! after an end; eleven generations a second, two in five of which run for some 7 s and the others for 0.4 s; what runs begins 0.2 s after it is placed, and
-//! the crashing one ends its engine 0.06 s later and comes again every 1.2 s. Who is cut comes back once, three times for every third caller. Each
-//! row is the mean of the seeds.
+//! Runs in simulated time. The kernel selects the engines and refuses fingerprints; a single
+//! instance knows of every event at once. Twelve engines with a KV-cache capacity of 34,000 tokens
+//! are back 3 s after a crash. Eleven generations arrive per second: two in five run for about
+//! 7 s, the others for 0.4 s. A generation starts 0.2 s after it is placed. The crashing one crashes
+//! its engine 0.06 s after its start, and arrives about every 1.2 s. The caller of an aborted
+//! generation retries once, every third caller three times. Each row is the mean over the seeds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -18,83 +21,84 @@
 use rand::{RngExt, SeedableRng};
 
 const STEP: Duration = Duration::from_millis(10);
-const LASTS: Duration = Duration::from_secs(30);
+const SIMULATED_TIME: Duration = Duration::from_secs(30);
 const ENGINES: usize = 12;
-const BACK_AFTER: Duration = Duration::from_secs(3);
-const BEGINS_AFTER: Duration = Duration::from_millis(200);
-const CRASHES_AFTER: Duration = Duration::from_millis(60);
-const REPORTED_EVERY: u32 = 10;
+const RESTART_TIME: Duration = Duration::from_secs(3);
+const START_DELAY: Duration = Duration::from_millis(200);
+const CRASH_DELAY: Duration = Duration::from_millis(60);
+const REPORT_INTERVAL_STEPS: u32 = 10;
 const SEEDS: u64 = 40;
-const CRASHING: u128 = 0;
-/// Tokens that a generation makes in a second.
+const CRASHING_FINGERPRINT: u128 = 0;
+/// Token rate of each generation.
 const TOKENS_PER_S: f64 = 64.0;
 
-/// What befalls the engines.
+/// The load and the engine crashes of one simulation.
 #[derive(Clone, Copy)]
-struct Day {
+struct Scenario {
     name: &'static str,
-    /// Time between two tries of the crashing request; nothing where none comes.
-    crashing_every_s: Option<f64>,
-    /// Ends of engines for reasons of their own, a second.
-    own_ends_per_s: f64,
-    /// Share of the generations that are one of ten contents.
-    equal_share: f64,
+    /// Mean time between arrivals of the crashing request; `None` if it never arrives.
+    crashing_interval_s: Option<f64>,
+    /// Engine crashes per second that no request causes.
+    unrelated_crashes_per_s: f64,
+    /// Share of the generations that have one of ten common fingerprints.
+    common_share: f64,
 }
 
-/// How contents are counted and placed.
+/// How crashes are scored against fingerprints, and where suspected ones are placed.
 #[derive(Clone, Copy)]
-struct Way {
+struct Strategy {
     name: &'static str,
     rules: RefusalRules,
-    /// Whether a suspected one runs beside as few as there are, and nothing new begins beside it.
-    apart: bool,
+    /// Places a suspected request on the engine with the fewest runs, and starts no other run there
+    /// until it has started.
+    isolate_suspects: bool,
 }
 
 #[derive(Default, Clone, Copy)]
 struct Outcome {
-    ended: f64,
-    cut: f64,
-    refused_in_error: f64,
-    no_room: f64,
+    crashed: f64,
+    aborted: f64,
+    wrongly_refused: f64,
+    no_capacity: f64,
     served: f64,
 }
 
 #[derive(Clone)]
 struct Run {
     demand: RunDemand,
-    content: u128,
+    fingerprint: u128,
     engine: String,
     placed_at: Duration,
     ends_at: Duration,
-    comes_back: u32,
+    retries: u32,
 }
 
 struct Arrival {
     at: Duration,
-    content: u128,
-    runs_for: Duration,
+    fingerprint: u128,
+    run_time: Duration,
     prompt_tokens: u32,
-    comes_back: u32,
+    retries: u32,
 }
 
 struct Simulation {
-    day: Day,
-    way: Way,
+    scenario: Scenario,
+    strategy: Strategy,
     random: SmallRng,
     now: Duration,
     ledger: EngineLedger,
     suspects: CrashSuspects,
-    /// Engines and when they are there.
+    /// Engine ids and the time from which each engine is available.
     engines: BTreeMap<String, Duration>,
     runs: HashMap<String, Run>,
     arrivals: Vec<Arrival>,
-    /// Engines on which a suspected one begins, and until when.
-    apart_until: HashMap<String, Duration>,
-    named: u64,
+    /// Engines on which a suspected request is starting, and until when they are isolated.
+    isolated_until: HashMap<String, Duration>,
+    last_id: u64,
     outcome: Outcome,
 }
 
-fn content(number: u128) -> RequestFingerprint {
+fn request_fingerprint(number: u128) -> RequestFingerprint {
     RequestFingerprint {
         head: HeadHash(0),
         full: number,
@@ -102,19 +106,19 @@
 }
 
 impl Simulation {
-    fn new(day: Day, way: Way, seed: u64) -> Self {
+    fn new(scenario: Scenario, strategy: Strategy, seed: u64) -> Self {
         let mut simulation = Self {
-            day,
-            way,
+            scenario,
+            strategy,
             random: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
             ledger: EngineLedger::for_instance("n1"),
-            suspects: CrashSuspects::with_rules(way.rules),
+            suspects: CrashSuspects::with_rules(strategy.rules),
             engines: BTreeMap::new(),
             runs: HashMap::new(),
             arrivals: Vec::new(),
-            apart_until: HashMap::new(),
-            named: 0,
+            isolated_until: HashMap::new(),
+            last_id: 0,
             outcome: Outcome::default(),
         };
         for _ in 0..ENGINES {
@@ -123,19 +127,19 @@
         simulation
     }
 
-    fn name(&mut self) -> u64 {
-        self.named += 1;
-        self.named
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn start_engine(&mut self, at: Duration) {
-        let name = format!("e{}", self.name());
+        let name = format!("e{}", self.next_id());
         self.engines.insert(name, at);
     }
 
     fn list_engines(&mut self) {
-        let there = self.engines.iter().filter(|(_, at)| **at <= self.now);
-        let entries = there.map(|(id, _)| ListedEngine {
+        let available = self.engines.iter().filter(|(_, at)| **at <= self.now);
+        let entries = available.map(|(id, _)| ListedEngine {
             id: id.clone(),
             hall: "h".to_owned(),
             slots: 24,
@@ -149,15 +153,15 @@
         self.ledger.set_engines(entries.collect());
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         let mut steps: u32 = 0;
-        while self.now < LASTS {
+        while self.now < SIMULATED_TIME {
             self.now += STEP;
             steps += 1;
             self.list_engines();
-            self.come();
-            self.run_on();
-            if steps.is_multiple_of(REPORTED_EVERY) {
+            self.handle_arrivals();
+            self.advance_runs();
+            if steps.is_multiple_of(REPORT_INTERVAL_STEPS) {
                 self.report();
                 self.ledger.expire(self.now);
             }
@@ -165,39 +169,41 @@
         self.outcome
     }
 
-    fn happens(&mut self, per_s: f64) -> bool {
+    fn occurs(&mut self, per_s: f64) -> bool {
         self.random
             .random_bool((per_s * STEP.as_secs_f64()).min(1.0))
     }
 
-    fn come(&mut self) {
-        if self.happens(11.0) {
+    fn handle_arrivals(&mut self) {
+        if self.occurs(11.0) {
             let is_long = self.random.random_bool(0.42);
-            let runs_s = if is_long { 7.0 } else { 0.4 };
-            let equal = self.random.random_bool(self.day.equal_share);
-            let content = if equal {
+            let mean_run_time_s = if is_long { 7.0 } else { 0.4 };
+            let is_common = self.random.random_bool(self.scenario.common_share);
+            let fingerprint = if is_common {
                 u128::from(self.random.random_range(1..=10_u32))
             } else {
-                u128::from(1_000 + self.name())
+                u128::from(1_000 + self.next_id())
             };
             let arrival = Arrival {
                 at: self.now,
-                content,
-                runs_for: Duration::from_secs_f64(runs_s * self.random.random_range(0.5..1.5)),
+                fingerprint,
+                run_time: Duration::from_secs_f64(
+                    mean_run_time_s * self.random.random_range(0.5..1.5),
+                ),
                 prompt_tokens: if is_long { 3_000 } else { 2_200 },
-                comes_back: if self.random.random_bool(0.33) { 3 } else { 1 },
+                retries: if self.random.random_bool(0.33) { 3 } else { 1 },
             };
             self.arrivals.push(arrival);
         }
-        if let Some(every_s) = self.day.crashing_every_s
-            && self.happens(1.0 / every_s)
+        if let Some(interval_s) = self.scenario.crashing_interval_s
+            && self.occurs(1.0 / interval_s)
         {
             self.arrivals.push(Arrival {
                 at: self.now,
-                content: CRASHING,
-                runs_for: Duration::from_secs(1),
+                fingerprint: CRASHING_FINGERPRINT,
+                run_time: Duration::from_secs(1),
                 prompt_tokens: 2_200,
-                comes_back: 1,
+                retries: 1,
             });
         }
         let now = self.now;
@@ -211,130 +217,136 @@
     }
 
     fn place(&mut self, arrival: &Arrival) {
-        let verdict = self.suspects.verdict(content(arrival.content), self.now);
+        let verdict = self
+            .suspects
+            .verdict(request_fingerprint(arrival.fingerprint), self.now);
         if verdict == Verdict::Refused {
-            self.outcome.refused_in_error += f64::from(u8::from(arrival.content != CRASHING));
+            self.outcome.wrongly_refused +=
+                f64::from(u8::from(arrival.fingerprint != CRASHING_FINGERPRINT));
             return;
         }
-        let apart = self.way.apart && verdict == Verdict::Suspected;
-        let excluded = self.excluded(apart);
-        let name = format!("r{}", self.name());
+        let isolate = self.strategy.isolate_suspects && verdict == Verdict::Suspected;
+        let excluded = self.excluded(isolate);
+        let name = format!("r{}", self.next_id());
         let demand = RunDemand {
             run: name.clone(),
             prompt_tokens: arrival.prompt_tokens,
             made_max_tokens: 600,
-            made_hint_tokens: Some(arrival.runs_for.as_secs_f64() * TOKENS_PER_S),
+            made_hint_tokens: Some(arrival.run_time.as_secs_f64() * TOKENS_PER_S),
             priority: 1,
         };
         let granted = self.ledger.place(&demand, "n1", &excluded, self.now);
         let granted = granted.or_else(|| self.ledger.place(&demand, "n1", &[], self.now));
         let Some(engine) = granted else {
-            self.outcome.no_room += f64::from(u8::from(arrival.content != CRASHING));
+            self.outcome.no_capacity +=
+                f64::from(u8::from(arrival.fingerprint != CRASHING_FINGERPRINT));
             return;
         };
-        if apart {
-            let until = self.now + BEGINS_AFTER + CRASHES_AFTER * 2;
-            self.apart_until.insert(engine.clone(), until);
+        if isolate {
+            let until = self.now + START_DELAY + CRASH_DELAY * 2;
+            self.isolated_until.insert(engine.clone(), until);
         }
         let run = Run {
             demand,
-            content: arrival.content,
+            fingerprint: arrival.fingerprint,
             engine,
             placed_at: self.now,
-            ends_at: self.now + BEGINS_AFTER + arrival.runs_for,
-            comes_back: arrival.comes_back,
+            ends_at: self.now + START_DELAY + arrival.run_time,
+            retries: arrival.retries,
         };
         self.runs.insert(name, run);
     }
 
-    /// Engines that one generation is not placed on: those where a suspected one begins; for a suspected one, all but the emptiest.
-    fn excluded(&self, apart: bool) -> Vec<String> {
-        if !self.way.apart {
+    /// Returns the engines on which a generation may not be placed: those on which a suspected
+    /// request is starting, and for a suspected request all but the one with the fewest runs.
+    fn excluded(&self, isolate: bool) -> Vec<String> {
+        if !self.strategy.isolate_suspects {
             return Vec::new();
         }
-        let taken = |id: &String| {
-            let until = self.apart_until.get(id);
+        let is_isolated = |id: &String| {
+            let until = self.isolated_until.get(id);
             until.is_some_and(|until| self.now < *until)
         };
-        let there = self.engines.iter();
-        let there = there.filter(|(id, at)| **at <= self.now && !taken(id));
-        let beside = |id: &String| self.runs.values().filter(|run| run.engine == *id).count();
-        let emptiest = there.map(|(id, _)| id).min_by_key(|id| beside(id));
+        let available = self.engines.iter();
+        let available = available.filter(|(id, at)| **at <= self.now && !is_isolated(id));
+        let run_count = |id: &String| self.runs.values().filter(|run| run.engine == *id).count();
+        let least_loaded = available.map(|(id, _)| id).min_by_key(|id| run_count(id));
         let all = self.engines.keys();
-        let excluded = all.filter(|id| taken(id) || apart && Some(*id) != emptiest);
+        let excluded = all.filter(|id| is_isolated(id) || isolate && Some(*id) != least_loaded);
         excluded.cloned().collect()
     }
 
-    fn run_on(&mut self) {
+    fn advance_runs(&mut self) {
         let now = self.now;
-        let mut ended: Vec<String> = Vec::new();
-        let mut done = Vec::new();
+        let mut crashed: Vec<String> = Vec::new();
+        let mut finished = Vec::new();
         for (name, run) in &self.runs {
-            let began_at = run.placed_at + BEGINS_AFTER;
-            if run.content == CRASHING && now >= began_at + CRASHES_AFTER {
-                ended.push(run.engine.clone());
+            let started_at = run.placed_at + START_DELAY;
+            if run.fingerprint == CRASHING_FINGERPRINT && now >= started_at + CRASH_DELAY {
+                crashed.push(run.engine.clone());
             } else if now >= run.ends_at {
-                done.push(name.clone());
+                finished.push(name.clone());
             }
-            if now >= began_at + START_WINDOW {
+            if now >= started_at + START_WINDOW {
                 self.suspects
-                    .record_ran_past_start(content(run.content), now);
+                    .record_ran_past_start(request_fingerprint(run.fingerprint), now);
             }
         }
-        for name in done {
+        for name in finished {
             let run = self.runs.remove(&name);
-            if let Some(run) = run.filter(|run| run.content != CRASHING) {
+            if let Some(run) = run.filter(|run| run.fingerprint != CRASHING_FINGERPRINT) {
                 self.outcome.served += 1.0;
-                self.suspects.record_survival(content(run.content), 0, now);
+                self.suspects
+                    .record_survival(request_fingerprint(run.fingerprint), 0, now);
             }
         }
-        if self.happens(self.day.own_ends_per_s) {
-            let there: Vec<&String> = self.engines.keys().collect();
-            let place = self.random.random_range(0..there.len());
-            ended.push(there[place].clone());
+        if self.occurs(self.scenario.unrelated_crashes_per_s) {
+            let available: Vec<&String> = self.engines.keys().collect();
+            let index = self.random.random_range(0..available.len());
+            crashed.push(available[index].clone());
         }
-        ended.sort();
-        ended.dedup();
-        for engine in ended {
-            self.end_engine(&engine);
+        crashed.sort();
+        crashed.dedup();
+        for engine in crashed {
+            self.crash_engine(&engine);
         }
     }
 
-    fn end_engine(&mut self, engine: &str) {
+    fn crash_engine(&mut self, engine: &str) {
         if self.engines.remove(engine).is_none() {
             return;
         }
-        self.outcome.ended += 1.0;
-        let back_at = self.now + BACK_AFTER;
-        self.start_engine(back_at);
-        let on_it = |run: &Run| run.engine == engine;
-        let cut: Vec<String> = self
+        self.outcome.crashed += 1.0;
+        let restarted_at = self.now + RESTART_TIME;
+        self.start_engine(restarted_at);
+        let runs_on_engine = |run: &Run| run.engine == engine;
+        let aborted: Vec<String> = self
             .runs
             .iter()
-            .filter(|(_, run)| on_it(run))
+            .filter(|(_, run)| runs_on_engine(run))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in cut {
+        for name in aborted {
             let Some(run) = self.runs.remove(&name) else {
                 continue;
             };
             self.ledger.release(&name);
-            let ran_for = self.now.saturating_sub(run.placed_at + BEGINS_AFTER);
-            let end = EndpointCrash {
+            let ran_for = self.now.saturating_sub(run.placed_at + START_DELAY);
+            let crash = EndpointCrash {
                 endpoint: larkwick::kernel::crash_suspects::short_hash(engine),
                 software: 0,
                 at_start: ran_for < START_WINDOW,
             };
             self.suspects
-                .record_crash(content(run.content), end, self.now);
-            self.outcome.cut += f64::from(u8::from(run.content != CRASHING));
-            if run.comes_back > 0 {
+                .record_crash(request_fingerprint(run.fingerprint), crash, self.now);
+            self.outcome.aborted += f64::from(u8::from(run.fingerprint != CRASHING_FINGERPRINT));
+            if run.retries > 0 {
                 self.arrivals.push(Arrival {
                     at: self.now + Duration::from_millis(50),
-                    content: run.content,
-                    runs_for: run.ends_at.saturating_sub(run.placed_at + BEGINS_AFTER),
+                    fingerprint: run.fingerprint,
+                    run_time: run.ends_at.saturating_sub(run.placed_at + START_DELAY),
                     prompt_tokens: run.demand.prompt_tokens,
-                    comes_back: run.comes_back - 1,
+                    retries: run.retries - 1,
                 });
             }
         }
@@ -343,13 +355,13 @@
 
     fn report(&mut self) {
         let runs = self.runs.values().map(|run| {
-            let made_s = self.now.saturating_sub(run.placed_at + BEGINS_AFTER);
+            let generating_s = self.now.saturating_sub(run.placed_at + START_DELAY);
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 reason = "a few hundred tokens"
             )]
-            let made_tokens = (made_s.as_secs_f64() * TOKENS_PER_S) as u32;
+            let made_tokens = (generating_s.as_secs_f64() * TOKENS_PER_S) as u32;
             ReportedRun {
                 demand: run.demand.clone(),
                 endpoint: run.engine.clone(),
@@ -361,9 +373,9 @@
     }
 }
 
-/// What it takes to name a content, by the length of its body.
-fn naming() {
-    const TIMES: u32 = 200;
+/// Prints the time to compute a request fingerprint, for two body lengths.
+fn time_fingerprints() {
+    const ITERATIONS: u32 = 200;
     let head = FingerprintHead {
         method: "POST",
         host: "site.example",
@@ -371,84 +383,88 @@
         account: Some("account-1"),
         body_bytes: 3_000,
     };
-    let begun = Instant::now();
-    for _ in 0..TIMES {
+    let started = Instant::now();
+    for _ in 0..ITERATIONS {
         black_box(black_box(&head).hash());
     }
-    println!("head: {:.2?}", begun.elapsed() / TIMES);
+    println!("head: {:.2?}", started.elapsed() / ITERATIONS);
     for bytes in [3_000, 4 << 20] {
         let body = vec![7_u8; bytes];
-        let begun = Instant::now();
-        for _ in 0..TIMES {
+        let started = Instant::now();
+        for _ in 0..ITERATIONS {
             black_box(head.hash().with_body(black_box(&body)));
         }
         println!(
             "head and body of {bytes} bytes: {:.2?}",
-            begun.elapsed() / TIMES
+            started.elapsed() / ITERATIONS
         );
     }
 }
 
 fn main() {
-    naming();
-    let usual = RefusalRules::default();
-    let never = RefusalRules {
+    time_fingerprints();
+    let default_rules = RefusalRules::default();
+    let never_refuse = RefusalRules {
         refuse_at_points: u32::MAX,
-        ..usual
+        ..default_rules
+    };
+    let equal_points = RefusalRules {
+        points_later: default_rules.points_at_start,
+        ..default_rules
     };
-    let each_alike = RefusalRules {
-        points_later: usual.points_at_start,
-        ..usual
+    let two_crashes = RefusalRules {
+        refuse_at_points: default_rules.points_at_start * 2,
+        ..default_rules
     };
-    let two_ends = RefusalRules {
-        refuse_at_points: usual.points_at_start * 2,
-        ..usual
+    let strategy = |name, rules, isolate_suspects| Strategy {
+        name,
+        rules,
+        isolate_suspects,
     };
-    let way = |name, rules, apart| Way { name, rules, apart };
-    let ways = [
-        way("never refused", never, false),
-        way("each end alike, 3", each_alike, false),
-        way("beginnings in full, 2", two_ends, false),
-        way("beginnings in full, 3", usual, false),
-        way("the same, apart", usual, true),
+    let strategies = [
+        strategy("never refused", never_refuse, false),
+        strategy("each end alike, 3", equal_points, false),
+        strategy("beginnings in full, 2", two_crashes, false),
+        strategy("beginnings in full, 3", default_rules, false),
+        strategy("the same, apart", default_rules, true),
     ];
-    let day = |name, crashing_every_s, own_ends_per_s, equal_share| Day {
+    let scenario = |name, crashing_interval_s, unrelated_crashes_per_s, common_share| Scenario {
         name,
-        crashing_every_s,
-        own_ends_per_s,
-        equal_share,
+        crashing_interval_s,
+        unrelated_crashes_per_s,
+        common_share,
     };
-    let days = [
-        day("crashing request", Some(1.2), 0.0, 0.0),
-        day("crashing, equal requests", Some(1.2), 0.0, 0.67),
-        day("own ends, equal requests", None, 1.0, 0.67),
-        day("own ends, all apart", None, 1.0, 0.0),
-        day("crashing and own ends, equal", Some(1.2), 1.0, 0.67),
+    let scenarios = [
+        scenario("crashing request", Some(1.2), 0.0, 0.0),
+        scenario("crashing, equal requests", Some(1.2), 0.0, 0.67),
+        scenario("own ends, equal requests", None, 1.0, 0.67),
+        scenario("own ends, all apart", None, 1.0, 0.0),
+        scenario("crashing and own ends, equal", Some(1.2), 1.0, 0.67),
     ];
     println!(
         "{:30} {:24} {:>7} {:>7} {:>9} {:>8} {:>7}",
         "day", "way", "ended", "cut", "in error", "no room", "served"
     );
-    for day in days {
-        for way in ways {
-            let played = (0..SEEDS).map(|seed| Simulation::new(day, way, seed).play());
-            let sum = played.fold(Outcome::default(), |sum, one| Outcome {
-                ended: sum.ended + one.ended,
-                cut: sum.cut + one.cut,
-                refused_in_error: sum.refused_in_error + one.refused_in_error,
-                no_room: sum.no_room + one.no_room,
+    for scenario in scenarios {
+        for strategy in strategies {
+            let outcomes = (0..SEEDS).map(|seed| Simulation::new(scenario, strategy, seed).run());
+            let sum = outcomes.fold(Outcome::default(), |sum, one| Outcome {
+                crashed: sum.crashed + one.crashed,
+                aborted: sum.aborted + one.aborted,
+                wrongly_refused: sum.wrongly_refused + one.wrongly_refused,
+                no_capacity: sum.no_capacity + one.no_capacity,
                 served: sum.served + one.served,
             });
             #[expect(clippy::cast_precision_loss, reason = "a few seeds")]
             let mean = |total: f64| total / SEEDS as f64;
             println!(
                 "{:30} {:24} {:7.2} {:7.1} {:9.2} {:8.1} {:7.1}",
-                day.name,
-                way.name,
-                mean(sum.ended),
-                mean(sum.cut),
-                mean(sum.refused_in_error),
-                mean(sum.no_room),
+                scenario.name,
+                strategy.name,
+                mean(sum.crashed),
+                mean(sum.aborted),
+                mean(sum.wrongly_refused),
+                mean(sum.no_capacity),
                 mean(sum.served)
             );
         }
--- a/benches/in_force.rs
+++ b/benches/in_force.rs
@@ -1,4 +1,5 @@
-//! Time from a publish's acceptance until it is in force on every instance: `cargo bench --bench in_force`.
+//! Measures the time from the acceptance of a publish until every instance applies it:
+//! `cargo bench --bench in_force`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -10,7 +11,7 @@
 
 const PUBLISHES: u32 = 20;
 const INSTANCES: u64 = 6;
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 async fn is_in_force(instance: &Process, region: &str) -> bool {
     let config = get_json(format!("http://{}/config", instance.address("operator"))).await;
@@ -21,7 +22,7 @@
     let runtime = tokio::runtime::Runtime::new().expect("runtime");
     runtime.block_on(async {
         let mut site = Site::new();
-        // The default times, as an installation has them.
+        // Without overrides: the default times, as in production.
         site.times = json!({});
         let halls = ["h1", "h2", "h3"];
         let instances: Vec<Process> = (0..INSTANCES)
@@ -35,7 +36,7 @@
         for instance in &instances {
             wait_for_peers(instance, INSTANCES - 1).await;
         }
-        let mut took = Vec::new();
+        let mut delays = Vec::new();
         for publish in 0..PUBLISHES {
             let region = format!("r{publish}");
             let object = json!([{"kind": "hall", "name": "watched", "region": region}]);
@@ -43,17 +44,17 @@
             let accepted = Instant::now();
             for instance in &instances {
                 while !is_in_force(instance, &region).await {
-                    tokio::time::sleep(LOOK_EVERY).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
-            took.push(accepted.elapsed());
+            delays.push(accepted.elapsed());
         }
-        took.sort_unstable();
+        delays.sort_unstable();
         println!("{PUBLISHES} publishes, {INSTANCES} instances in 3 halls, default times");
         println!(
             "in force everywhere after: median {:?}, longest {:?}",
-            took[took.len() / 2],
-            took[took.len() - 1]
+            delays[delays.len() / 2],
+            delays[delays.len() - 1]
         );
     });
 }
--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,8 +1,11 @@
-//! Who keeps the sum that an endpoint takes from all instances together: `cargo bench --bench limits`.
+//! Compares strategies to keep the total request rate of all instances within the rate limit of an
+//! endpoint: `cargo bench --bench limits`.
 //!
-//! Simulated time; the kernel's limits, permits and shares decide. Calls come to random instances, at a constant rate in the mean; each may go to any
-//! endpoint, in random order, that its instance may send to. An endpoint without a limit takes all. Requests are counted from three seconds on, as users
-//! count them. Each row is the mean of the seeds, with the standard error of what was served.
+//! Runs in simulated time with the rate limits, permits and shares of the kernel. Calls arrive at
+//! random instances at a constant mean rate. Each tries the endpoints in random order until its
+//! instance may send to one. An endpoint without a limit accepts every call. Requests are counted
+//! from three seconds on, as users count them. Each row is the mean over the seeds, with the
+//! standard error of the served share.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -16,34 +19,35 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-const LASTS: Duration = Duration::from_secs(23);
-const COUNTED_FROM: Duration = Duration::from_secs(3);
-const SPAN: Duration = Duration::from_secs(4);
-/// Endpoints that a call asks for in vain, as in the gateway.
-const VAIN_ASKS_MAX: u32 = 6;
-/// At sites of more instances the hashes of all names for each endpoint take hours.
-const BY_NAME_MAX: usize = 1_000;
-/// Endpoints that one call looks at, where there are hundreds.
-const LOOKED_AT_MAX: usize = 40;
+const SIMULATED_TIME: Duration = Duration::from_secs(23);
+const COUNTING_STARTS_AT: Duration = Duration::from_secs(3);
+const RATE_WINDOW: Duration = Duration::from_secs(4);
+/// Maximum number of permits denied to one call, as in the gateway.
+const DENIALS_MAX: u32 = 6;
+/// Maximum number of instances with which the hash strategy is run. With more, hashing all instance
+/// names for each endpoint takes hours.
+const NAME_HASH_INSTANCES_MAX: usize = 1_000;
+/// Maximum number of endpoints that one call tries, at sites with hundreds of them.
+const CANDIDATES_MAX: usize = 40;
 
-/// How the sum is kept.
+/// How the total rate is limited.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    /// Nobody keeps it.
-    Unheeded,
-    /// Whole calls a second, dealt out by the hash of both names.
-    ByName,
-    /// Each instance has its even part, and one request on top.
-    EvenParts,
-    /// One instance gives a permit for each request.
+enum Strategy {
+    /// The limit is ignored.
+    Unlimited,
+    /// Whole calls per second are assigned to instances by a hash of instance and endpoint name.
+    NameHash,
+    /// Each instance has an equal share of the rate, plus a burst of one request.
+    EqualShares,
+    /// One instance per endpoint issues a permit for each request.
     Permits,
 }
 
-const WAYS: [(&str, Way); 4] = [
-    ("unheeded", Way::Unheeded),
-    ("by name", Way::ByName),
-    ("even parts", Way::EvenParts),
-    ("permits", Way::Permits),
+const STRATEGIES: [(&str, Strategy); 4] = [
+    ("unheeded", Strategy::Unlimited),
+    ("by name", Strategy::NameHash),
+    ("even parts", Strategy::EqualShares),
+    ("permits", Strategy::Permits),
 ];
 
 struct Site {
@@ -60,61 +64,61 @@
     calls: f64,
     served: f64,
     sent_to_limited: f64,
-    asks: f64,
-    /// Most that an endpoint got in a span, as a part of what is allowed.
-    worst: f64,
+    permit_requests: f64,
+    /// Most requests to one endpoint within a window, relative to the allowed number.
+    worst_window: f64,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     site: &'a Site,
-    way: Way,
+    strategy: Strategy,
     random: SmallRng,
     names: Vec<String>,
     endpoints: Vec<String>,
-    givers: Vec<usize>,
-    cold_gates: Vec<ColdRateLimiter>,
+    issuers: Vec<usize>,
+    cold_rate_limiters: Vec<ColdRateLimiter>,
     cold_shares: HashMap<(usize, usize), u32>,
-    /// What each instance gives, or has for itself.
+    /// Permits of each instance: those it issues, or with equal shares those of its share.
     permits: Vec<PermitIssuer>,
-    asked: Vec<RequestedPermits>,
-    sent: BTreeMap<usize, VecDeque<Duration>>,
+    requested: Vec<RequestedPermits>,
+    recent_sends: BTreeMap<usize, VecDeque<Duration>>,
     outcome: Outcome,
 }
 
-impl<'a> Play<'a> {
-    fn new(site: &'a Site, way: Way, seed: u64) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(site: &'a Site, strategy: Strategy, seed: u64) -> Self {
         let names: Vec<String> = (0..site.instances).map(|n| format!("n{n}")).collect();
         let endpoints: Vec<String> = (0..site.endpoints).map(|n| format!("e{n}")).collect();
-        let giver = |endpoint: &String| {
-            let giver = rendezvous(endpoint, names.iter().map(String::as_str));
-            let place = names.iter().position(|name| Some(name.as_str()) == giver);
-            place.unwrap_or_default()
+        let issuer = |endpoint: &String| {
+            let issuer = rendezvous(endpoint, names.iter().map(String::as_str));
+            let index = names.iter().position(|name| Some(name.as_str()) == issuer);
+            index.unwrap_or_default()
         };
         Self {
-            givers: endpoints.iter().take(site.limited).map(giver).collect(),
-            cold_gates: (0..site.instances)
+            issuers: endpoints.iter().take(site.limited).map(issuer).collect(),
+            cold_rate_limiters: (0..site.instances)
                 .map(|_| ColdRateLimiter::default())
                 .collect(),
             cold_shares: HashMap::new(),
             permits: (0..site.instances)
                 .map(|_| PermitIssuer::default())
                 .collect(),
-            asked: (0..site.instances)
+            requested: (0..site.instances)
                 .map(|_| RequestedPermits::default())
                 .collect(),
-            sent: BTreeMap::new(),
+            recent_sends: BTreeMap::new(),
             outcome: Outcome::default(),
             random: SmallRng::seed_from_u64(seed),
             names,
             endpoints,
             site,
-            way,
+            strategy,
         }
     }
 
     fn run(mut self) -> Outcome {
         let mut now = Duration::ZERO;
-        while now < LASTS {
+        while now < SIMULATED_TIME {
             let gap_s = -self.random.random_range(f64::EPSILON..1.0).ln() / self.site.calls_per_s;
             now += Duration::from_secs_f64(gap_s);
             self.call(now);
@@ -125,45 +129,45 @@
     fn call(&mut self, now: Duration) {
         let instance = self.random.random_range(0..self.site.instances);
         let mut order: Vec<usize> = (0..self.site.endpoints).collect();
-        let (order, _) = order.partial_shuffle(&mut self.random, LOOKED_AT_MAX);
+        let (order, _) = order.partial_shuffle(&mut self.random, CANDIDATES_MAX);
         let order = order.to_vec();
-        let counted = now >= COUNTED_FROM;
+        let counted = now >= COUNTING_STARTS_AT;
         self.outcome.calls += f64::from(u8::from(counted));
-        let mut vain = 0;
+        let mut denials = 0;
         for endpoint in order {
             if endpoint >= self.site.limited {
                 self.outcome.served += f64::from(u8::from(counted));
                 return;
             }
-            if vain < VAIN_ASKS_MAX && self.may_send(instance, endpoint, now, &mut vain) {
+            if denials < DENIALS_MAX && self.can_send(instance, endpoint, now, &mut denials) {
                 self.outcome.served += f64::from(u8::from(counted));
                 if counted {
-                    self.note(endpoint, now);
+                    self.record_sent(endpoint, now);
                 }
                 return;
             }
         }
     }
 
-    fn may_send(
+    fn can_send(
         &mut self,
         instance: usize,
         endpoint: usize,
         now: Duration,
-        vain: &mut u32,
+        denials: &mut u32,
     ) -> bool {
-        match self.way {
-            Way::Unheeded => true,
-            Way::ByName => self.may_send_by_name(instance, endpoint, now),
-            Way::EvenParts => self.may_send_even_part(instance, endpoint, now),
-            Way::Permits => self.has_permit(instance, endpoint, now, vain),
+        match self.strategy {
+            Strategy::Unlimited => true,
+            Strategy::NameHash => self.can_send_by_name_hash(instance, endpoint, now),
+            Strategy::EqualShares => self.can_send_equal_share(instance, endpoint, now),
+            Strategy::Permits => self.obtain_permit(instance, endpoint, now, denials),
         }
     }
 
-    fn may_send_by_name(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
+    fn can_send_by_name_hash(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
         let names = &self.names;
         let start = ColdStart {
-            duration: LASTS,
+            duration: SIMULATED_TIME,
             sustainable_per_s: self.site.limit_per_s,
         };
         let share = self.cold_shares.entry((instance, endpoint));
@@ -173,66 +177,70 @@
             let others = others.map(|(_, name)| name.as_str());
             start.share_per_s_by_hash(&names[instance], others, &self.endpoints[endpoint])
         });
-        let gate = &mut self.cold_gates[instance];
-        let can_send = gate.can_send(&self.endpoints[endpoint], share, now);
+        let limiter = &mut self.cold_rate_limiters[instance];
+        let can_send = limiter.can_send(&self.endpoints[endpoint], share, now);
         if can_send {
-            gate.record_sent(&self.endpoints[endpoint], now);
+            limiter.record_sent(&self.endpoints[endpoint], now);
         }
         can_send
     }
 
-    fn may_send_even_part(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
+    fn can_send_equal_share(&mut self, instance: usize, endpoint: usize, now: Duration) -> bool {
         let limit = self.limit(1);
         let name = &self.names[instance];
         let permits = &mut self.permits[instance];
-        // With one request on top: as if it had begun long ago.
+        // Allows a burst of one request, by accruing as if the share had existed for a long time.
         permits.start_accrual(&self.endpoints[endpoint], Duration::ZERO);
-        permits.request(&self.endpoints[endpoint], name, limit, now + LASTS * 100)
-            == PermitDecision::Granted
+        permits.request(
+            &self.endpoints[endpoint],
+            name,
+            limit,
+            now + SIMULATED_TIME * 100,
+        ) == PermitDecision::Granted
     }
 
-    fn limit(&self, lending: usize) -> LimitShare {
+    fn limit(&self, reachable: usize) -> LimitShare {
         LimitShare {
             per_s: self.site.limit_per_s,
             share: IssuerShare {
-                reachable: lending,
+                reachable,
                 total: self.site.instances,
             },
         }
     }
 
-    fn has_permit(
+    fn obtain_permit(
         &mut self,
         instance: usize,
         endpoint: usize,
         now: Duration,
-        vain: &mut u32,
+        denials: &mut u32,
     ) -> bool {
         let name = &self.endpoints[endpoint];
-        if self.asked[instance].denied_until(name, now).is_some() {
+        if self.requested[instance].denied_until(name, now).is_some() {
             return false;
         }
-        self.outcome.asks += 1.0;
+        self.outcome.permit_requests += 1.0;
         let limit = self.limit(self.site.instances);
-        let giver = &mut self.permits[self.givers[endpoint]];
-        match giver.request(name, &self.names[instance], limit, now) {
+        let issuer = &mut self.permits[self.issuers[endpoint]];
+        match issuer.request(name, &self.names[instance], limit, now) {
             PermitDecision::Granted => true,
             PermitDecision::NotBefore(until) => {
-                self.asked[instance].record_denial(name, until, now);
-                *vain += 1;
+                self.requested[instance].record_denial(name, until, now);
+                *denials += 1;
                 false
             }
         }
     }
 
-    fn note(&mut self, endpoint: usize, now: Duration) {
+    fn record_sent(&mut self, endpoint: usize, now: Duration) {
         self.outcome.sent_to_limited += 1.0;
-        let sent = self.sent.entry(endpoint).or_default();
-        sent.retain(|at| now.saturating_sub(*at) < SPAN);
-        sent.push_back(now);
-        let count = f64::from(u32::try_from(sent.len()).unwrap_or(u32::MAX));
-        let allowed = 1.5 * self.site.limit_per_s * SPAN.as_secs_f64() + 5.0;
-        self.outcome.worst = self.outcome.worst.max(count / allowed);
+        let recent_sends = self.recent_sends.entry(endpoint).or_default();
+        recent_sends.retain(|at| now.saturating_sub(*at) < RATE_WINDOW);
+        recent_sends.push_back(now);
+        let count = f64::from(u32::try_from(recent_sends.len()).unwrap_or(u32::MAX));
+        let allowed = 1.5 * self.site.limit_per_s * RATE_WINDOW.as_secs_f64() + 5.0;
+        self.outcome.worst_window = self.outcome.worst_window.max(count / allowed);
     }
 }
 
@@ -268,30 +276,35 @@
             ..
         } = site;
         println!("{instances}, {endpoints}, {limited}, {calls_per_s}, {limit_per_s}:");
-        for (name, way) in WAYS {
-            if way == Way::ByName && *instances > BY_NAME_MAX {
+        for (name, strategy) in STRATEGIES {
+            if strategy == Strategy::NameHash && *instances > NAME_HASH_INSTANCES_MAX {
                 println!("  {name:10} | not run");
                 continue;
             }
-            tell(site, name, way);
+            print_results(site, name, strategy);
         }
     }
 }
 
-fn tell(site: &Site, name: &str, way: Way) {
+fn print_results(site: &Site, name: &str, strategy: Strategy) {
     let outcomes: Vec<Outcome> = (0..site.seeds)
-        .map(|seed| Play::new(site, way, seed).run())
+        .map(|seed| Simulation::new(site, strategy, seed).run())
         .collect();
     let seeds = f64::from(u32::try_from(site.seeds).unwrap_or(u32::MAX));
-    let counted_s = (LASTS.saturating_sub(COUNTED_FROM)).as_secs_f64();
+    let counted_s = (SIMULATED_TIME.saturating_sub(COUNTING_STARTS_AT)).as_secs_f64();
     let limited = f64::from(u32::try_from(site.limited).unwrap_or(u32::MAX));
-    let taken = limited * site.limit_per_s * counted_s;
+    let allowed = limited * site.limit_per_s * counted_s;
     let mean = |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / seeds;
-    let worst = outcomes.iter().map(|one| one.worst).fold(0.0, f64::max);
-    let used = mean(&|one| one.sent_to_limited / taken);
+    let worst_window = outcomes
+        .iter()
+        .map(|one| one.worst_window)
+        .fold(0.0, f64::max);
+    let used = mean(&|one| one.sent_to_limited / allowed);
     let served = mean(&|one| one.served / one.calls);
     let variance = mean(&|one| (one.served / one.calls - served).powi(2));
-    let error = (variance / (seeds - 1.0).max(1.0)).sqrt();
-    let asks = mean(&|one| one.asks / one.calls);
-    println!("  {name:10} | {worst:.2} | {used:.2} | {served:.3} +-{error:.3} | {asks:.2}");
+    let standard_error = (variance / (seeds - 1.0).max(1.0)).sqrt();
+    let permit_requests = mean(&|one| one.permit_requests / one.calls);
+    println!(
+        "  {name:10} | {worst_window:.2} | {used:.2} | {served:.3} +-{standard_error:.3} | {permit_requests:.2}"
+    );
 }
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,4 +1,4 @@
-//! What larkwick adds to an engine: `cargo bench --bench overhead`.
+//! Measures the latency that larkwick adds to that of an engine: `cargo bench --bench overhead`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -6,8 +6,9 @@
 use serde_json::json;
 use support::{Site, config_objects, run_tool, wait_until_serving};
 
-/// An engine whose memory and batch are never full, so that only the way to it is measured.
-fn spec() -> serde_json::Value {
+/// Returns the settings of an engine whose KV cache and batch never fill up, so that only the path
+/// to it is measured.
+fn engine_settings() -> serde_json::Value {
     json!({"step_us": 20_000, "step_per_sequence_us": 0, "batch_max": 2000, "kv_capacity_tokens": 10_000_000,
         "prefill_tokens_per_ms": 1_000_000})
 }
@@ -18,10 +19,10 @@
         let mut site = Site::new();
         site.worker_threads = serde_json::Value::Null;
         site.times = json!({});
-        let engine = site.start_engine("e1", &spec());
-        let mut published = config_objects("h", &[("e1", &engine)], &[]);
-        published[4]["kv_capacity_tokens"] = json!(10_000_000);
-        assert!(site.publish(&published).status.success());
+        let engine = site.start_engine("e1", &engine_settings());
+        let mut objects = config_objects("h", &[("e1", &engine)], &[]);
+        objects[4]["kv_capacity_tokens"] = json!(10_000_000);
+        assert!(site.publish(&objects).status.success());
         let instance = site.start_instance("i1", "h");
         wait_until_serving(&instance).await;
         for streams in ["50", "500"] {
--- a/benches/resting.rs
+++ b/benches/resting.rs
@@ -1,8 +1,11 @@
-//! Who is to know that an engine has asked an instance for rest: `cargo bench --bench resting`.
+//! Compares which instances should honor a cooldown that an engine has requested from one of them:
+//! `cargo bench --bench resting`.
 //!
-//! Simulated time; the kernel's rests and budgets of repeats decide. Twelve engines with 10 places, a third of which turn away a share of what they
-//! get for 30 s and ask for 3 s of rest each time; a generation takes 2.5 s; it is offered to the emptiest engine, five at most, and each repeat
-//! is taken from its instance's budget. Each row is the mean of the seeds.
+//! Runs in simulated time with the cooldowns and retry budgets of the kernel. There are twelve
+//! engines with 10 slots. For 30 s, a third of them refuse a share of their requests, and request a
+//! cooldown of 3 s each time. A generation runs for 2.5 s. It is sent to the least loaded engine,
+//! with at most five attempts, and each retry is charged to the budget of its instance. Each row is
+//! the mean over the seeds.
 
 use std::time::Duration;
 
@@ -14,63 +17,63 @@
 
 const SEEDS: u64 = 40;
 const STEP: Duration = Duration::from_millis(5);
-const LASTS: Duration = Duration::from_secs(30);
+const SIMULATED_TIME: Duration = Duration::from_secs(30);
 const ENGINES: usize = 12;
-const TURN_AWAY: usize = 4;
-const PLACES: usize = 10;
-const RUNS_FOR: Duration = Duration::from_millis(2_500);
-const REST: Duration = Duration::from_secs(3);
-const OFFERS_MAX: u32 = 5;
-/// For so long an owner passes over an engine that has refused somebody, whatever it asked for.
-const REFUSED_PAUSE: Duration = Duration::from_millis(400);
-/// The users' allowance for a service.
-const ALLOWANCE: RetryAllowance = RetryAllowance {
+const REFUSING_ENGINES: usize = 4;
+const SLOTS: usize = 10;
+const GENERATION_TIME: Duration = Duration::from_millis(2_500);
+const COOLDOWN: Duration = Duration::from_secs(3);
+const ATTEMPTS_MAX: u32 = 5;
+/// Time for which an owner skips an engine after a refusal, whatever cooldown the engine requested.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(400);
+/// Retry allowance of the users for a service.
+const RETRY_ALLOWANCE: RetryAllowance = RetryAllowance {
     share: 0.2,
     slack: 52.0,
 };
 
-/// Who heeds a rest.
+/// Which instances honor a cooldown.
 #[derive(Clone, Copy, PartialEq)]
-enum Heeds {
-    Nobody,
-    /// The instance that was asked.
-    Asked,
-    /// All instances, as the owner knows it from the one that was asked.
-    All,
-    /// The instance that was asked; the others go there where no other engine has room.
-    Last,
+enum CooldownScope {
+    Ignored,
+    /// The instance that the engine requested it from.
+    RequestedFrom,
+    /// All instances, since that instance reports it to the owner.
+    AllInstances,
+    /// That instance; the others use the engine only if no other engine has a free slot.
+    LastResort,
 }
 
-/// What the engines and the callers do.
+/// The load and the refusals of one simulation.
 #[derive(Clone, Copy)]
-struct Day {
+struct Scenario {
     instances: usize,
-    /// Share of the requests that an engine which turns away refuses.
+    /// Share of its requests that a refusing engine refuses.
     refused_share: f64,
-    per_s: f64,
+    requests_per_s: f64,
 }
 
 #[derive(Default)]
 struct Outcome {
-    asked: f64,
+    requests: f64,
     lost: f64,
-    vain: f64,
-    /// Most requests that one engine got from one instance within a rest.
-    in_rest_most: u32,
+    refused_attempts: f64,
+    /// Most requests that one instance sent to one engine within a cooldown.
+    cooldown_requests_max: u32,
 }
 
 struct Instance {
-    rests: EndpointCooldowns,
+    cooldowns: EndpointCooldowns,
     budget: RetryBudget,
-    in_rest: [u32; ENGINES],
+    cooldown_requests: [u32; ENGINES],
 }
 
-struct Play {
+struct Simulation {
     random: SmallRng,
-    heeds: Heeds,
-    day: Day,
+    scope: CooldownScope,
+    scenario: Scenario,
     instances: Vec<Instance>,
-    for_all: EndpointCooldowns,
+    shared_cooldowns: EndpointCooldowns,
     paused_until: [Duration; ENGINES],
     running: Vec<Vec<Duration>>,
     outcome: Outcome,
@@ -80,19 +83,19 @@
     engine.to_string()
 }
 
-impl Play {
-    fn new(seed: u64, heeds: Heeds, day: Day) -> Self {
+impl Simulation {
+    fn new(seed: u64, scope: CooldownScope, scenario: Scenario) -> Self {
         let instance = || Instance {
-            rests: EndpointCooldowns::default(),
-            budget: ALLOWANCE.instance_budget(day.instances),
-            in_rest: [0; ENGINES],
+            cooldowns: EndpointCooldowns::default(),
+            budget: RETRY_ALLOWANCE.instance_budget(scenario.instances),
+            cooldown_requests: [0; ENGINES],
         };
         Self {
             random: SmallRng::seed_from_u64(seed),
-            heeds,
-            day,
-            instances: (0..day.instances).map(|_| instance()).collect(),
-            for_all: EndpointCooldowns::default(),
+            scope,
+            scenario,
+            instances: (0..scenario.instances).map(|_| instance()).collect(),
+            shared_cooldowns: EndpointCooldowns::default(),
             paused_until: [Duration::ZERO; ENGINES],
             running: vec![Vec::new(); ENGINES],
             outcome: Outcome::default(),
@@ -101,60 +104,76 @@
 
     fn run(mut self) -> Outcome {
         let mut now = Duration::ZERO;
-        while now < LASTS {
+        while now < SIMULATED_TIME {
             for running in &mut self.running {
                 running.retain(|until| now < *until);
             }
-            if self.random.random_bool(self.day.per_s * STEP.as_secs_f64()) {
-                self.generation(now);
+            if self
+                .random
+                .random_bool(self.scenario.requests_per_s * STEP.as_secs_f64())
+            {
+                self.run_generation(now);
             }
             now += STEP;
         }
         self.outcome
     }
 
-    fn choose(&mut self, instance: usize, excluded: &[usize], now: Duration) -> Option<usize> {
+    fn select_engine(
+        &mut self,
+        instance: usize,
+        excluded: &[usize],
+        now: Duration,
+    ) -> Option<usize> {
         let engines = (0..ENGINES).filter(|engine| {
             let name = name(*engine);
-            let rests = match self.heeds {
-                Heeds::Nobody => false,
-                Heeds::Asked | Heeds::Last => {
-                    self.instances[instance].rests.is_cooling_down(&name, now)
-                }
-                Heeds::All => self.for_all.is_cooling_down(&name, now),
+            let cooling_down = match self.scope {
+                CooldownScope::Ignored => false,
+                CooldownScope::RequestedFrom | CooldownScope::LastResort => self.instances
+                    [instance]
+                    .cooldowns
+                    .is_cooling_down(&name, now),
+                CooldownScope::AllInstances => self.shared_cooldowns.is_cooling_down(&name, now),
             };
-            let is_full = self.running[*engine].len() >= PLACES;
-            !rests && !is_full && now >= self.paused_until[*engine] && !excluded.contains(engine)
+            let is_full = self.running[*engine].len() >= SLOTS;
+            !cooling_down
+                && !is_full
+                && now >= self.paused_until[*engine]
+                && !excluded.contains(engine)
         });
         let mut engines: Vec<usize> = engines.collect();
-        if self.heeds == Heeds::Last {
-            let asked = |engine: &usize| self.for_all.is_cooling_down(&name(*engine), now);
-            let others = engines.iter().copied().filter(|engine| !asked(engine));
-            let others: Vec<usize> = others.collect();
-            if !others.is_empty() {
-                engines = others;
+        if self.scope == CooldownScope::LastResort {
+            let is_cooling_down =
+                |engine: &usize| self.shared_cooldowns.is_cooling_down(&name(*engine), now);
+            let preferred = engines
+                .iter()
+                .copied()
+                .filter(|engine| !is_cooling_down(engine));
+            let preferred: Vec<usize> = preferred.collect();
+            if !preferred.is_empty() {
+                engines = preferred;
             }
         }
-        let least = engines.iter().map(|engine| self.running[*engine].len());
-        let least = least.min()?;
-        let emptiest = engines.into_iter();
-        let emptiest = emptiest.filter(|engine| self.running[*engine].len() == least);
-        emptiest.choose(&mut self.random)
+        let lowest_load = engines.iter().map(|engine| self.running[*engine].len());
+        let lowest_load = lowest_load.min()?;
+        let least_loaded = engines.into_iter();
+        let least_loaded = least_loaded.filter(|engine| self.running[*engine].len() == lowest_load);
+        least_loaded.choose(&mut self.random)
     }
 
-    fn generation(&mut self, now: Duration) {
-        self.outcome.asked += 1.0;
+    fn run_generation(&mut self, now: Duration) {
+        self.outcome.requests += 1.0;
         let instance = self.random.random_range(0..self.instances.len());
         self.instances[instance].budget.record_first_attempt();
         let mut excluded = Vec::new();
-        for offer in 0..OFFERS_MAX {
-            if offer > 0 && !self.instances[instance].budget.try_spend() {
+        for attempt in 0..ATTEMPTS_MAX {
+            if attempt > 0 && !self.instances[instance].budget.try_spend() {
                 break;
             }
-            let Some(engine) = self.choose(instance, &excluded, now) else {
+            let Some(engine) = self.select_engine(instance, &excluded, now) else {
                 break;
             };
-            if self.taken(instance, engine, now) {
+            if self.try_start(instance, engine, now) {
                 return;
             }
             excluded.push(engine);
@@ -162,69 +181,77 @@
         self.outcome.lost += 1.0;
     }
 
-    fn taken(&mut self, instance: usize, engine: usize, now: Duration) -> bool {
+    fn try_start(&mut self, instance: usize, engine: usize, now: Duration) -> bool {
         let name = name(engine);
-        let asked = &mut self.instances[instance];
-        if asked.rests.is_cooling_down(&name, now) {
-            asked.in_rest[engine] += 1;
-            self.outcome.in_rest_most = self.outcome.in_rest_most.max(asked.in_rest[engine]);
+        let sender = &mut self.instances[instance];
+        if sender.cooldowns.is_cooling_down(&name, now) {
+            sender.cooldown_requests[engine] += 1;
+            self.outcome.cooldown_requests_max = self
+                .outcome
+                .cooldown_requests_max
+                .max(sender.cooldown_requests[engine]);
         } else {
-            asked.in_rest[engine] = 0;
+            sender.cooldown_requests[engine] = 0;
         }
-        let refuses = engine < TURN_AWAY && self.random.random_bool(self.day.refused_share);
+        let refuses =
+            engine < REFUSING_ENGINES && self.random.random_bool(self.scenario.refused_share);
         if !refuses {
-            self.running[engine].push(now + RUNS_FOR);
+            self.running[engine].push(now + GENERATION_TIME);
             return true;
         }
-        self.outcome.vain += 1.0;
-        asked.rests.start(&name, REST, now);
-        self.for_all.start(&name, REST, now);
-        self.paused_until[engine] = now + REFUSED_PAUSE;
+        self.outcome.refused_attempts += 1.0;
+        sender.cooldowns.start(&name, COOLDOWN, now);
+        self.shared_cooldowns.start(&name, COOLDOWN, now);
+        self.paused_until[engine] = now + REFUSAL_PAUSE;
         false
     }
 }
 
 fn main() {
-    let days = [
+    let scenarios = [
         (6, 0.9, 20.0),
         (6, 0.9, 36.0),
         (6, 0.3, 36.0),
         (60, 0.9, 36.0),
     ];
     println!("instances  refused  a second  who heeds  lost in 100  vain in 100  most in a rest");
-    for (instances, refused_share, per_s) in days {
-        let day = Day {
+    for (instances, refused_share, requests_per_s) in scenarios {
+        let scenario = Scenario {
             instances,
             refused_share,
-            per_s,
+            requests_per_s,
         };
-        for (heeds, label) in [
-            (Heeds::Nobody, "nobody"),
-            (Heeds::Asked, "asked"),
-            (Heeds::All, "all"),
-            (Heeds::Last, "last"),
+        for (scope, label) in [
+            (CooldownScope::Ignored, "nobody"),
+            (CooldownScope::RequestedFrom, "asked"),
+            (CooldownScope::AllInstances, "all"),
+            (CooldownScope::LastResort, "last"),
         ] {
-            let plays: Vec<Outcome> = (0..SEEDS)
-                .map(|seed| Play::new(seed, heeds, day).run())
+            let outcomes: Vec<Outcome> = (0..SEEDS)
+                .map(|seed| Simulation::new(seed, scope, scenario).run())
                 .collect();
             let share = |of: fn(&Outcome) -> f64| {
-                let shares: Vec<f64> = plays
+                let shares: Vec<f64> = outcomes
                     .iter()
-                    .map(|play| 100.0 * of(play) / play.asked)
+                    .map(|outcome| 100.0 * of(outcome) / outcome.requests)
                     .collect();
                 let count = f64::from(u32::try_from(shares.len()).unwrap_or(u32::MAX));
                 let mean = shares.iter().sum::<f64>() / count;
-                let spread = shares
+                let squared_deviations = shares
                     .iter()
                     .map(|share| (share - mean).powi(2))
                     .sum::<f64>();
-                (mean, (spread / count / (count - 1.0)).sqrt())
+                (mean, (squared_deviations / count / (count - 1.0)).sqrt())
             };
-            let (lost, lost_error) = share(|play| play.lost);
-            let (vain, vain_error) = share(|play| play.vain);
-            let most = plays.iter().map(|play| play.in_rest_most).max();
+            let (lost, lost_error) = share(|outcome| outcome.lost);
+            let (refused_attempts, refused_attempts_error) =
+                share(|outcome| outcome.refused_attempts);
+            let most = outcomes
+                .iter()
+                .map(|outcome| outcome.cooldown_requests_max)
+                .max();
             println!(
-                "{instances:9}  {refused_share:7}  {per_s:8}  {label:>9}  {lost:5.2} +-{lost_error:4.2}  {vain:5.2} +-{vain_error:4.2}  {:14}",
+                "{instances:9}  {refused_share:7}  {requests_per_s:8}  {label:>9}  {lost:5.2} +-{lost_error:4.2}  {refused_attempts:5.2} +-{refused_attempts_error:4.2}  {:14}",
                 most.unwrap_or_default()
             );
         }
--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -1,4 +1,5 @@
-//! The slopes behind docs/CAPACITY.md: `cargo bench --bench slopes`.
+//! Measures how time and memory grow with the size of an installation, for docs/CAPACITY.md:
+//! `cargo bench --bench slopes`.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -19,15 +20,15 @@
 use uuid::Uuid;
 
 fn main() {
-    fold();
-    tickets();
-    ledger();
-    members();
+    measure_config();
+    measure_dedup_table();
+    measure_group_ledger();
+    measure_members();
     let runtime = tokio::runtime::Runtime::new().expect("runtime");
-    runtime.block_on(control());
+    runtime.block_on(measure_idle_instances());
 }
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process.
 fn resident_kib() -> i64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -35,7 +36,7 @@
         .unwrap_or(0)
 }
 
-/// Processor time of this process, in milliseconds.
+/// Returns the processor time that this process has used, in milliseconds.
 fn cpu_ms() -> f64 {
     const TICK_MS: f64 = 10.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
@@ -47,13 +48,13 @@
         * TICK_MS
 }
 
-/// Mean time of one call, in microseconds.
-fn mean_us(times: u32, mut call: impl FnMut(u32)) -> f64 {
-    let began = Instant::now();
-    for index in 0..times {
+/// Returns the mean time of one call, in microseconds.
+fn mean_us(iterations: u32, mut call: impl FnMut(u32)) -> f64 {
+    let started = Instant::now();
+    for index in 0..iterations {
         call(index);
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(times)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(iterations)
 }
 
 fn account(index: u32) -> Object {
@@ -65,13 +66,13 @@
     })
 }
 
-fn publish(fold: &ConfigStateMachine, object: Object) -> Record {
+fn publish(state_machine: &ConfigStateMachine, object: Object) -> Record {
     Record::Publish(Publish {
         publish_id: Uuid::new_v4(),
-        base_offset: fold.state().next_offset,
+        base_offset: state_machine.state().next_offset,
         publisher: "bench".to_owned(),
         changes: vec![Change {
-            seen_revision: fold.state().revision(&object.key()),
+            seen_revision: state_machine.state().revision(&object.key()),
             action: ChangeAction::Put {
                 object: Box::new(object),
             },
@@ -79,21 +80,21 @@
     })
 }
 
-fn fold() {
+fn measure_config() {
     println!(
         "| objects | fold a publish, us | rebuild the catalog, ms | snapshot, ms | snapshot, bytes an object | memory, KiB |"
     );
     println!("|---:|---:|---:|---:|---:|---:|");
     for objects in [1_000_u32, 5_000, 20_000] {
         let before = resident_kib();
-        let mut fold = ConfigStateMachine::default();
+        let mut state_machine = ConfigStateMachine::default();
         let changes = (0..objects).map(|index| Change {
             seen_revision: 0,
             action: ChangeAction::Put {
                 object: Box::new(account(index)),
             },
         });
-        fold.apply(Some(&Record::Publish(Publish {
+        state_machine.apply(Some(&Record::Publish(Publish {
             publish_id: Uuid::new_v4(),
             base_offset: 0,
             publisher: String::new(),
@@ -101,16 +102,16 @@
         })));
         let memory = resident_kib() - before;
         let publish_us = mean_us(20, |index| {
-            let record = publish(&fold, account(index));
-            black_box(fold.apply(Some(&record)));
+            let record = publish(&state_machine, account(index));
+            black_box(state_machine.apply(Some(&record)));
         });
         let catalog_us = mean_us(5, |_| {
-            black_box(Catalog::new(fold.state()));
+            black_box(Catalog::new(state_machine.state()));
         });
         let snapshot_us = mean_us(3, |_| {
-            black_box(fold.snapshot("bench"));
+            black_box(state_machine.snapshot("bench"));
         });
-        let bytes = serde_json::to_vec(fold.state()).map_or(0, |bytes| bytes.len());
+        let bytes = serde_json::to_vec(state_machine.state()).map_or(0, |bytes| bytes.len());
         println!(
             "| {objects} | {publish_us:.0} | {:.1} | {:.1} | {} | {memory} |",
             catalog_us / 1e3,
@@ -120,7 +121,7 @@
     }
 }
 
-fn tickets() {
+fn measure_dedup_table() {
     println!(
         "\n| requests remembered | arrive, us | advance the epoch, us | memory, bytes a request |"
     );
@@ -131,17 +132,17 @@
             ..TicketLimits::default()
         };
         let before = resident_kib();
-        let mut book = DedupTable::new("i", Uuid::nil(), limits);
-        let ticket = book.issue_ticket();
+        let mut table = DedupTable::new("i", Uuid::nil(), limits);
+        let ticket = table.issue_ticket();
         let arrive_us = mean_us(requests, |index| {
             let key = IdempotencyKey {
                 account: "account".to_owned(),
                 key: format!("request {index}"),
             };
-            black_box(book.admit(&ticket, &key, Arc::new(index), true));
+            black_box(table.admit(&ticket, &key, Arc::new(index), true));
         });
         let memory = (resident_kib() - before) * 1024 / i64::from(requests);
-        let advance_us = mean_us(3, |_| book.advance_epoch());
+        let advance_us = mean_us(3, |_| table.advance_epoch());
         println!("| {requests} | {arrive_us:.2} | {advance_us:.0} | {memory} |");
     }
 }
@@ -162,7 +163,7 @@
     }
 }
 
-fn ledger() {
+fn measure_group_ledger() {
     println!("\n| streams in a group of 16 | reserve, us | recount, us | settle, us |");
     println!("|---:|---:|---:|---:|");
     for streams in [64_u32, 256, 1_024] {
@@ -200,7 +201,7 @@
     }
 }
 
-fn members() {
+fn measure_members() {
     println!(
         "\n| instances, in 21 halls | one heartbeat, us | read the list, us | live view, us | memory, KiB |"
     );
@@ -217,14 +218,14 @@
         let list_us = mean_us(5, |_| members.apply_list(&list, "instance-0", now));
         let memory = resident_kib() - before;
         let own = status(0, 0).incarnation;
-        let beat_us = mean_us(100, |index| {
+        let heartbeat_us = mean_us(100, |index| {
             members.record_heartbeat(status(index % instances, 0), now);
             black_box(members.gossip_for(&own, "hall-0", "", now));
         });
         let live_us = mean_us(100, |_| {
             black_box(members.live("hall-0", now).count());
         });
-        println!("| {instances} | {beat_us:.0} | {list_us:.0} | {live_us:.0} | {memory} |");
+        println!("| {instances} | {heartbeat_us:.0} | {list_us:.0} | {live_us:.0} | {memory} |");
     }
 }
 
@@ -237,7 +238,7 @@
     serde_json::from_value(settings).expect("settings")
 }
 
-async fn beat_bytes(app: &App) -> f64 {
+async fn heartbeat_bytes(app: &App) -> f64 {
     let url = format!("http://{}/metrics", app.addresses().operator);
     let text = reqwest::get(url)
         .await
@@ -252,9 +253,10 @@
         .unwrap_or(0.0)
 }
 
-/// What instances spend on control while nothing is asked of them: all of one hall in this process, at the default times.
-async fn control() {
-    const MEASURED: Duration = Duration::from_secs(10);
+/// Measures the control overhead of idle instances: those of one hall, all in this process, at the
+/// default times.
+async fn measure_idle_instances() {
+    const MEASURED_TIME: Duration = Duration::from_secs(10);
     println!(
         "\n| idle instances in a hall | processor, % of a core each | heartbeats, bytes/s each | memory, MiB each |"
     );
@@ -270,11 +272,11 @@
             apps.push(app.expect("instance"));
         }
         tokio::time::sleep(Duration::from_secs(5)).await;
-        let (cpu, bytes) = (cpu_ms(), beat_bytes(&apps[0]).await);
-        tokio::time::sleep(MEASURED).await;
-        let each = f64::from(instances) * MEASURED.as_secs_f64();
+        let (cpu, bytes) = (cpu_ms(), heartbeat_bytes(&apps[0]).await);
+        tokio::time::sleep(MEASURED_TIME).await;
+        let each = f64::from(instances) * MEASURED_TIME.as_secs_f64();
         let cpu = (cpu_ms() - cpu) / 10.0 / each;
-        let bytes = (beat_bytes(&apps[0]).await - bytes) / each;
+        let bytes = (heartbeat_bytes(&apps[0]).await - bytes) / each;
         let memory = (resident_kib() - before) / 1024 / i64::from(instances);
         println!("| {instances} | {cpu:.2} | {bytes:.0} | {memory} |");
         futures::future::join_all(apps.into_iter().map(App::abort)).await;
--- a/benches/store_returns.rs
+++ b/benches/store_returns.rs
@@ -1,7 +1,9 @@
-//! What a store that comes back from an older copy costs a site: `cargo bench --bench store_returns`, `RETURN_INSTANCES=66,295` for other sizes.
+//! Measures what it costs a site when its store is restored from an older copy:
+//! `cargo bench --bench store_returns`; `RETURN_INSTANCES=66,295` selects other numbers of instances.
 //!
-//! Instances as processes at their usual times, on one machine. A configuration and an endpoint are written after the copy was made, and again 300 ms after the
-//! return. Calls to the store are counted for ten quiet seconds and for ten from the return on.
+//! Instances run as processes on one machine, at the default times. A configuration and an endpoint
+//! are written after the copy is made, and again 300 ms after the store is restored. Calls to the
+//! store are counted for ten seconds before the restore and for ten seconds from the restore on.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,45 +14,46 @@
 use larkwick::standin::site::server::{Server, ServerKind};
 use support::site::{Instance, RoutedSite, wait_until};
 
-const COUNTED_FOR: Duration = Duration::from_secs(10);
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(300);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const COUNTING_TIME: Duration = Duration::from_secs(10);
+const REPLAY_DELAY: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SEEDS: usize = 3;
-const PATHS: [&str; 3] = [
+const STORE_PATHS: [&str; 3] = [
     "/larkwick/log-append",
     "/larkwick/log-read",
     "/larkwick/log-newest",
 ];
 
-fn calls(site: &RoutedSite) -> u32 {
+fn store_call_count(site: &RoutedSite) -> u32 {
     let store = &site.standin.store;
-    PATHS.iter().map(|path| store.call_count(path)).sum()
+    STORE_PATHS.iter().map(|path| store.call_count(path)).sum()
 }
 
-async fn knows(instance: &Instance, version: u64, era: u64, server: &Server) -> bool {
+async fn has_caught_up(instance: &Instance, version: u64, era: u64, server: &Server) -> bool {
     let state = instance.state().await;
     state["config_version"].as_u64() >= Some(version)
         && state["store_era"].as_u64() >= Some(era)
         && instance.endpoint_availability(server).await == "ready"
 }
 
-/// How long after a moment each instance knows it, the slowest last.
-async fn known_after(
+/// Returns the time from `since` until each instance has the version, the era and the endpoint,
+/// in ascending order.
+async fn catch_up_times(
     instances: &[Instance],
     since: Instant,
     version: u64,
     era: u64,
     server: &Server,
 ) -> Vec<Duration> {
-    let each = instances.iter().map(async |instance| {
-        while !knows(instance, version, era, server).await {
-            tokio::time::sleep(LOOK_EVERY).await;
+    let each_delay = instances.iter().map(async |instance| {
+        while !has_caught_up(instance, version, era, server).await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         since.elapsed()
     });
-    let mut after = futures::future::join_all(each).await;
-    after.sort_unstable();
-    after
+    let mut delays = futures::future::join_all(each_delay).await;
+    delays.sort_unstable();
+    delays
 }
 
 async fn measure(count: usize) {
@@ -68,26 +71,26 @@
         state["members"].as_array().map(Vec::len) == Some(count - 1)
     })
     .await;
-    let copy = site.standin.store.snapshot();
+    let snapshot = site.standin.store.snapshot();
     site.standin.publish(3, &[KEY]);
     let server = site.standin.start_server("app", ServerKind::Plain).await;
     let server = server.expect("server starts");
-    known_after(&instances, Instant::now(), 3, 0, &server).await;
-    let before = calls(&site);
-    tokio::time::sleep(COUNTED_FOR).await;
-    let quiet = calls(&site) - before;
-    let before = calls(&site);
-    let returned_at = Instant::now();
-    let lost = site.standin.store.restore(copy);
-    tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
-    site.standin.store.replay_lost_writes(&lost);
-    let after = known_after(&instances, returned_at, 3, 1, &server).await;
-    tokio::time::sleep(COUNTED_FOR.saturating_sub(returned_at.elapsed())).await;
-    let returning = calls(&site) - before;
+    catch_up_times(&instances, Instant::now(), 3, 0, &server).await;
+    let calls_before = store_call_count(&site);
+    tokio::time::sleep(COUNTING_TIME).await;
+    let idle_calls = store_call_count(&site) - calls_before;
+    let calls_before = store_call_count(&site);
+    let restored_at = Instant::now();
+    let lost_writes = site.standin.store.restore(snapshot);
+    tokio::time::sleep(REPLAY_DELAY).await;
+    site.standin.store.replay_lost_writes(&lost_writes);
+    let delays = catch_up_times(&instances, restored_at, 3, 1, &server).await;
+    tokio::time::sleep(COUNTING_TIME.saturating_sub(restored_at.elapsed())).await;
+    let restore_calls = store_call_count(&site) - calls_before;
     println!(
-        "{count} instances: era and what was written again known after {:?} (middle), {:?} (last); {quiet} calls in ten quiet seconds, {returning} from the return on",
-        after[count / 2],
-        after[count - 1]
+        "{count} instances: era and what was written again known after {:?} (middle), {:?} (last); {idle_calls} calls in ten quiet seconds, {restore_calls} from the return on",
+        delays[count / 2],
+        delays[count - 1]
     );
 }
 
--- a/src/daemon/engine_selection.rs
+++ b/src/daemon/engine_selection.rs
@@ -49,7 +49,7 @@
     pub(crate) incarnation: Option<Uuid>,
     pub(crate) version: String,
     pub(crate) priority: i32,
-    /// The reservation, if the owner of a group granted candidate.
+    /// The reservation, if the owner of a group granted one.
     pub(crate) reservation: Option<Reservation>,
 }
 
