--- a/src/bin/larkwick-standin/flags.rs
+++ b/src/bin/larkwick-standin/flags.rs
@@ -9,35 +9,35 @@
     cmd larkwick-standin {
         /// Append-only log, list of instances, weight store.
         cmd platform {
-            /// Where it listens.
+            /// Address to listen on.
             required --address address: SocketAddr
-            /// Where its faults are set: PUT /faults.
+            /// Address of the control port, which sets faults: PUT /faults.
             required --control control: SocketAddr
         }
         /// Model engine.
         cmd engine {
             /// Name of the published endpoint.
             required --name name: String
-            /// Where it listens.
+            /// Address to listen on.
             required --address address: SocketAddr
-            /// Where its faults are set and its counters read: PUT /faults, GET /counters.
+            /// Address of the control port, which sets faults and returns counters: PUT /faults, GET /counters.
             required --control control: SocketAddr
             /// Platform to announce to and to load weights from.
             optional --platform platform: String
             /// Speed and size as JSON; see docs/ENDPOINTS.md.
             optional --spec spec: String
-            /// Model loaded from the start, as NAME@VERSION.
+            /// Model to load at startup, as NAME@VERSION.
             repeated --model model: String
-            /// Obey orders whatever their fence.
+            /// Accept orders without checking their fence.
             optional --no-fence
         }
         /// Plain service that counts how often each request ran.
         cmd service {
             /// Name of the published endpoint.
             required --name name: String
-            /// Where it listens.
+            /// Address to listen on.
             required --address address: SocketAddr
-            /// Where its faults are set and its runs read: PUT /faults, GET /runs.
+            /// Address of the control port, which sets faults and returns run counts: PUT /faults, GET /runs.
             required --control control: SocketAddr
             /// Platform to announce to.
             optional --platform platform: String
--- a/src/bin/larkwick/flags.rs
+++ b/src/bin/larkwick/flags.rs
@@ -7,9 +7,9 @@
 use uuid::Uuid;
 
 xflags::xflags! {
-    /// Checks and publishes configuration, and looks at instances.
+    /// Checks and publishes configuration, and inspects instances.
     ///
-    /// Exit codes: 0 done, 1 wrong input or no answer, 2 rejected, 3 unknown whether it took effect, 4 nothing published.
+    /// Exit codes: 0 success, 1 invalid input or no response, 2 rejected, 3 unknown whether it took effect, 4 nothing published.
     ///
     /// Examples:
     ///   larkwick check objects.jsonc
@@ -18,38 +18,38 @@
     ///   larkwick logs summary entry-*.log
     ///   larkwick logs places --name hall-1 entry-*.log
     cmd larkwick {
-        /// Check files of objects or settings.
+        /// Check object or settings files.
         cmd check {
             /// Files in JSON with comments.
             repeated files: PathBuf
         }
         /// Publish objects and wait until they are in force or rejected.
         cmd publish {
-            /// Files of objects, in JSON with comments.
+            /// Object files, in JSON with comments.
             repeated files: PathBuf
             /// Address of the platform.
             required --platform platform: String
             /// Object to delete, as kind/name.
             repeated --delete delete: String
-            /// Id of an earlier try whose outcome is unknown.
+            /// Id of an earlier attempt whose outcome is unknown.
             optional --publish-id publish_id: Uuid
-            /// Who publishes, for the history.
+            /// Name of the publisher, recorded in the history.
             optional --publisher publisher: String
-            /// How long to wait for the verdict.
+            /// Maximum time to wait for the verdict, in milliseconds.
             optional --wait-ms wait_ms: u64
             /// Print JSON.
             optional --json
         }
-        /// Look at the configuration.
+        /// Show the configuration.
         cmd config {
-            /// Objects in force.
+            /// Show the objects in force.
             cmd show {
                 /// Address of the platform.
                 required --platform platform: String
                 /// Print JSON.
                 optional --json
             }
-            /// Recent publishes and their verdicts.
+            /// Show recent publishes and their verdicts.
             cmd history {
                 /// Address of the platform.
                 required --platform platform: String
@@ -57,130 +57,130 @@
                 optional --json
             }
         }
-        /// State of an instance in short.
+        /// Show the status of an instance.
         cmd status {
-            /// Operators' address of the instance.
+            /// Operator address of the instance.
             required --operator operator: String
             /// Print JSON.
             optional --json
         }
-        /// State of an instance in full, as JSON.
+        /// Show the full state of an instance as JSON.
         cmd dump {
-            /// Operators' address of the instance.
+            /// Operator address of the instance.
             required --operator operator: String
         }
         /// Begin a planned stop of an instance.
         cmd drain {
-            /// Operators' address of the instance.
+            /// Operator address of the instance.
             required --operator operator: String
         }
-        /// Requests that endpoints ended under, by their content.
+        /// Requests that are suspected of crashing endpoints, by their fingerprint.
         cmd suspects {
-            /// Those that an instance knows.
+            /// List the suspects known to an instance.
             cmd list {
-                /// Operators' address of any instance.
+                /// Operator address of any instance.
                 required --operator operator: String
                 /// Print JSON.
                 optional --json
             }
-            /// Count one from nothing, at all instances: its endpoints were mended.
+            /// Release a suspect at all instances, after its endpoints were fixed: its crashes are counted from zero.
             cmd let-go {
-                /// The content, as the list and the log name it.
+                /// Fingerprint of the request, as shown in the list and in the log field `content`.
                 required content: String
-                /// Operators' address of any instance.
+                /// Operator address of any instance.
                 required --operator operator: String
             }
         }
-        /// Addresses for callers.
+        /// Show the addresses for callers.
         cmd entries {
-            /// Callers' address of any instance.
+            /// Caller address of any instance.
             required --entry entry: String
             /// Print JSON.
             optional --json
         }
         /// Read the logs of instances that serve routes.
         cmd logs {
-            /// How requests ended and why, by route.
+            /// Show the outcomes of requests and their causes, by route.
             cmd summary {
-                /// Log files; standard input where none is named.
+                /// Log files; standard input if there are none.
                 repeated files: PathBuf
-                /// Leave out lines that are no log lines, and count them.
+                /// Skip malformed lines, and count them.
                 optional --skip-damaged
                 /// Print JSON.
                 optional --json
             }
-            /// All lines of one request, in order of time.
+            /// Show all lines of one request, ordered by time.
             cmd request {
                 /// Id of the request.
                 required id: String
-                /// Log files; standard input where none is named.
+                /// Log files; standard input if there are none.
                 repeated files: PathBuf
-                /// Leave out lines that are no log lines, and count them.
+                /// Skip malformed lines, and count them.
                 optional --skip-damaged
             }
-            /// When endpoints and halls stopped taking work and took it again, and at which instances.
+            /// Show when endpoints and halls stopped accepting work and resumed, and at which instances.
             cmd places {
-                /// Log files; standard input where none is named.
+                /// Log files; standard input if there are none.
                 repeated files: PathBuf
                 /// Only this endpoint or hall.
                 optional --name name: String
-                /// Leave out lines that are no log lines, and count them.
+                /// Skip malformed lines, and count them.
                 optional --skip-damaged
                 /// Print JSON.
                 optional --json
             }
-            /// What endpoints that name a limit got from all instances together, second by second.
+            /// Show the requests per second that all instances together sent to endpoints with a rate limit.
             cmd limits {
-                /// Log files; standard input where none is named.
+                /// Log files; standard input if there are none.
                 repeated files: PathBuf
                 /// Only this endpoint.
                 optional --name name: String
-                /// Leave out lines that are no log lines, and count them.
+                /// Skip malformed lines, and count them.
                 optional --skip-damaged
                 /// Print JSON.
                 optional --json
             }
         }
-        /// Drive load and measure it.
+        /// Generate load and measure it.
         cmd load {
-            /// Drive an engine directly and through an entry, turn by turn.
+            /// Drive an engine directly and through an entry, in alternating rounds.
             cmd overhead {
                 /// Address of the engine.
                 required --engine engine: String
-                /// Callers' address of the entry.
+                /// Caller address of the entry.
                 required --entry entry: String
-                /// Operators' address of the entry.
+                /// Operator address of the entry.
                 required --operator operator: String
                 /// Bearer key.
                 required --key key: String
-                /// Streams open at once.
+                /// Number of concurrent streams.
                 optional --streams streams: usize
-                /// Tokens of each stream.
+                /// Number of tokens per stream.
                 optional --tokens tokens: u32
                 /// Print JSON.
                 optional --json
             }
-            /// Compare routing policies on the same seeded arrivals, everything in this process.
+            /// Compare routing policies on the same seeded arrivals, with all components in this process.
             cmd compare {
-                /// Policies, separated by commas; all where absent.
+                /// Policies, separated by commas; all by default.
                 optional --policies policies: String
-                /// Loads in percent of what the engines carry, separated by commas.
+                /// Loads in percent of the engines' capacity, separated by commas.
                 optional --loads loads: String
                 /// Number of seeds.
                 optional --seeds seeds: u64
-                /// Length of each run in seconds.
+                /// Time in which requests arrive per run, in seconds.
                 optional --seconds seconds: u64
-                /// Requests: general, planning, fuel or greedy.
+                /// Request mix: general, planning, fuel or greedy.
                 optional --mix mix: Mix
-                /// Engines.
+                /// Number of engines.
                 optional --engines engines: usize
-                /// Lag of the engines' load reports in milliseconds.
+                /// Delay of the engines' load reports, in milliseconds.
                 optional --report-lag-ms report_lag_ms: u64
-                /// Folder for the figures, the table and the plots.
+                /// Folder for the metrics, the table and the plots.
                 optional --out out: PathBuf
             }
         }
-        /// Print the hash of a bearer key, to publish with a client account.
+        /// Print the hash of a bearer key, for publishing with a client account.
         cmd key {
             /// The key.
             required key: String
--- a/src/daemon/placement_loop.rs
+++ b/src/daemon/placement_loop.rs
@@ -238,10 +238,10 @@
         .iter()
         .filter(|model| !loaded.contains(model));
     let missing_models: BTreeSet<String> = missing_models.map(|model| model.name.clone()).collect();
-    let kept = loaded
+    let retained = loaded
         .iter()
         .filter(|model| missing_models.contains(&model.name));
-    planned.models.extend(kept.cloned());
+    planned.models.extend(retained.cloned());
     planned
 }
 
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -172,8 +172,9 @@
         let retention = Duration::from_millis(inner.faults.retention_ms);
         let expire_before = inner.faults.expire_before;
         let stream = inner.streams.entry(stream.to_owned()).or_default();
-        while stream.records.front().is_some_and(|kept| {
-            now.saturating_sub(kept.appended_at) > retention || stream.first_offset < expire_before
+        while stream.records.front().is_some_and(|logged| {
+            now.saturating_sub(logged.appended_at) > retention
+                || stream.first_offset < expire_before
         }) {
             stream.records.pop_front();
             stream.first_offset += 1;
@@ -185,7 +186,7 @@
             first_kept: stream.first_offset,
             head: stream.first_offset + stream.records.len() as u64,
             first_offset,
-            records: records.map(|kept| kept.record.clone()).collect(),
+            records: records.map(|logged| logged.record.clone()).collect(),
         })
     }
 
--- a/src/tool/check.rs
+++ b/src/tool/check.rs
@@ -25,7 +25,7 @@
     })
 }
 
-/// Reads object files and validates each object on its own; references between objects are not
+/// Reads object files and validates each object separately; references between objects are not
 /// checked.
 ///
 /// # Errors
--- a/src/tool/log_limits.rs
+++ b/src/tool/log_limits.rs
@@ -16,7 +16,7 @@
 /// Requests sent to one endpoint in one second.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LimitUsageRow {
-    /// The endpoint, as one incarnation: a restarted endpoint gets rows of its own.
+    /// The endpoint, as one incarnation: a restarted endpoint gets separate rows.
     pub endpoint: String,
     /// The second, as Unix time by the clocks of the instances.
     pub at_s: u64,
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -69,13 +69,13 @@
 
     /// Sends the request to the instances in turn, under a new id each time.
     async fn call_in_turn(&self, path: &str, attempts: u32) -> Vec<(String, HttpResponse)> {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for (number, instance) in (0..attempts).zip(self.instances.iter().cycle()) {
             let id = format!("try-{number}");
-            let answer = call(instance, path, &id).await;
-            answers.push((id, answer));
+            let response = call(instance, path, &id).await;
+            responses.push((id, response));
         }
-        answers
+        responses
     }
 
     fn crashed(&self) -> usize {
@@ -94,11 +94,14 @@
     send_request(request).await
 }
 
-fn assert_refused_is_not_run(site: &RoutedSite, answers: &[(String, HttpResponse)]) {
-    for (id, answer) in answers.iter().filter(|(_, answer)| answer.status == 503) {
+fn assert_refused_is_not_run(site: &RoutedSite, responses: &[(String, HttpResponse)]) {
+    for (id, response) in responses
+        .iter()
+        .filter(|(_, response)| response.status == 503)
+    {
         assert!(
             site.standin.servers_that_ran(id).is_empty(),
-            "{id}: {answer:?}"
+            "{id}: {response:?}"
         );
     }
 }
@@ -106,16 +109,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn generation_crashes_each_engine_refused_by_all_instances_after_three() {
     let crashing = CrashingSite::start(0, 12, 3).await;
-    let answers = crashing.call_in_turn("/chat/2", ATTEMPTS).await;
+    let responses = crashing.call_in_turn("/chat/2", ATTEMPTS).await;
     let crashed = crashing.crashed();
     assert!(
         crashed <= CRASHED_MAX,
-        "{crashed} engines crashed in {ATTEMPTS} tries"
+        "{crashed} engines crashed in {ATTEMPTS} attempts"
     );
-    assert_refused_is_not_run(&crashing.site, &answers);
-    let last: BTreeSet<u16> = answers[ATTEMPTS as usize - 3..]
+    assert_refused_is_not_run(&crashing.site, &responses);
+    let last: BTreeSet<u16> = responses[ATTEMPTS as usize - 3..]
         .iter()
-        .map(|(_, answer)| answer.status)
+        .map(|(_, response)| response.status)
         .collect();
     assert_eq!(last, BTreeSet::from([503]), "each instance refuses it");
 }
@@ -130,11 +133,15 @@
     })
     .await;
     let lines = aborted_request_fields(instance);
-    let contents: BTreeSet<&str> = lines
+    let fingerprints: BTreeSet<&str> = lines
         .iter()
         .filter_map(|line| line["content"].as_str())
         .collect();
-    assert_eq!(contents.len(), 1, "the same content each time: {lines:?}");
+    assert_eq!(
+        fingerprints.len(),
+        1,
+        "the same fingerprint each time: {lines:?}"
+    );
     let crashed = lines.iter().filter(|line| line["presence"] == "Ended");
     assert_eq!(crashed.count(), 3, "{lines:?}");
 }
@@ -155,8 +162,8 @@
         wait_until("served again", async || {
             attempts += 1;
             let id = format!("again-{number}-{attempts}");
-            let answer = call(instance, "/chat/2", &id).await;
-            answer.status == 200 && answer.is_complete
+            let response = call(instance, "/chat/2", &id).await;
+            response.status == 200 && response.is_complete
         })
         .await;
     }
@@ -178,8 +185,11 @@
         standin.list_server_with(&engine, &json!({"version": "v2"}));
     }
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
-    let more = crashing.crashed() - crashed;
-    assert!(more <= 1, "{more} engines of the new software crashed");
+    let further_crashes = crashing.crashed() - crashed;
+    assert!(
+        further_crashes <= 1,
+        "{further_crashes} engines of the new software crashed"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -190,17 +200,17 @@
     let listed = run_tool(&["suspects", "list", "--operator", &operator, "--json"]);
     let listed: Value = serde_json::from_slice(&listed.stdout).expect("a list");
     assert_eq!(listed[0]["verdict"], "refused", "{listed}");
-    let content = listed[0]["content"].as_str().expect("a content");
+    let fingerprint = listed[0]["content"].as_str().expect("a fingerprint");
     for engine in &crashing.engines {
         engine.make_crash_proof();
     }
-    let let_go = run_tool(&["suspects", "let-go", content, "--operator", &operator]);
-    assert!(let_go.status.success(), "{let_go:?}");
+    let released = run_tool(&["suspects", "let-go", fingerprint, "--operator", &operator]);
+    assert!(released.status.success(), "{released:?}");
     let mut attempts = 0;
     wait_until("served at the other instance", async || {
         attempts += 1;
-        let answer = call(&crashing.instances[1], "/chat/2", &format!("l{attempts}")).await;
-        answer.status == 200 && answer.is_complete
+        let response = call(&crashing.instances[1], "/chat/2", &format!("l{attempts}")).await;
+        response.status == 200 && response.is_complete
     })
     .await;
     let unknown = "0".repeat(48);
@@ -229,8 +239,8 @@
         wait_until("served", async || {
             attempts += 1;
             let id = format!("equal-{number}-{attempts}");
-            let answer = send_request(instance.generation(60, &id)).await;
-            answer.status == 200 && answer.is_complete
+            let response = send_request(instance.generation(60, &id)).await;
+            response.status == 200 && response.is_complete
         })
         .await;
     }
@@ -247,18 +257,18 @@
     let instance = &crashing.instances[0];
     crashing.call_in_turn("/chat/2", 1).await;
     let crashed = crashing.site.standin.crashed_servers();
-    // The first one lasts until the last generation of the engine is forgotten there; from then on
-    // the engine looks the least loaded.
+    // The first generation runs until the instance no longer counts the one that crashed the engine
+    // against that engine, which then looks the least loaded.
     for (number, events) in [80, 2, 2, 2].into_iter().enumerate() {
-        let answer = send_request(instance.generation(events, &format!("after-{number}"))).await;
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = send_request(instance.generation(events, &format!("after-{number}"))).await;
+        assert_eq!(response.status, 200, "{response:?}");
     }
     let lines = instance.log_lines.lock().expect("lines");
     let placed = lines
         .iter()
         .filter(|line| line["payload"] == "generation placed")
         .filter(|line| line["kv"]["endpoint"] == crashed[0].as_str());
-    assert_eq!(placed.count(), 1, "only the one that ended it");
+    assert_eq!(placed.count(), 1, "only the generation that crashed it");
 }
 
 /// On a site too large for each instance to notify all others directly, a crash suspect still
@@ -302,7 +312,7 @@
             == 503
     })
     .await;
-    let began_at = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for instance in &instances {
         wait_until("known", async || {
             let known = instance.operator_json("/suspects").await;
@@ -312,10 +322,10 @@
     }
     println!(
         "{count} instances knew {} ms after the first",
-        began_at.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     let crashed = site.standin.crashed_servers().len();
-    assert_eq!(crashed, 3, "all of them under the first three tries");
+    assert_eq!(crashed, 3, "all of them in the first three attempts");
 }
 
 /// Returns the log fields of the requests that endpoints aborted.
@@ -330,14 +340,14 @@
 async fn call_crashes_each_endpoint_refused_by_all_instances_after_three() {
     for path in ["/once/1", "/calls/1"] {
         let crashing = CrashingSite::start(14, 0, 3).await;
-        let answers = crashing.call_in_turn(path, ATTEMPTS).await;
+        let responses = crashing.call_in_turn(path, ATTEMPTS).await;
         let crashed = crashing.crashed();
         assert!(
             crashed <= CRASHED_MAX,
             "{path}: {crashed} endpoints crashed"
         );
-        assert_refused_is_not_run(&crashing.site, &answers);
-        let (_, last) = answers.last().expect("answers");
+        assert_refused_is_not_run(&crashing.site, &responses);
+        let (_, last) = responses.last().expect("responses");
         assert_eq!(last.status, 503, "{path}: {last:?}");
         assert!(last.retry_after.is_some(), "{path}: {last:?}");
     }
--- a/tests/endpoint_signals.rs
+++ b/tests/endpoint_signals.rs
@@ -41,17 +41,19 @@
 
 async fn call_all(instance: &Instance, name: &str) {
     for number in 0..CALLS {
-        let answer = instance.call("/calls/a", &format!("{name}-{number}")).await;
-        assert_eq!(answer.status, 200, "{name}-{number}: {answer:?}");
+        let response = instance.call("/calls/a", &format!("{name}-{number}")).await;
+        assert_eq!(response.status, 200, "{name}-{number}: {response:?}");
     }
 }
 
 /// Sends calls until this server has received one.
-async fn until_answered_by(instance: &Instance, server: &Server, name: &str) {
-    let mut tries = 0;
+async fn wait_until_answered_by(instance: &Instance, server: &Server, name: &str) {
+    let mut attempts = 0;
     wait_until("a request reached it", async || {
-        tries += 1;
-        instance.call("/calls/a", &format!("{name}-{tries}")).await;
+        attempts += 1;
+        instance
+            .call("/calls/a", &format!("{name}-{attempts}"))
+            .await;
         server.request_count() > 0
     })
     .await;
@@ -71,7 +73,7 @@
     let instance = site.start_instance("n1").await;
     let draining = &site.apps[0];
     draining.announce_draining("1");
-    until_answered_by(&instance, draining, "first").await;
+    wait_until_answered_by(&instance, draining, "first").await;
     let before = draining.request_count();
     call_all(&instance, "after").await;
     assert_eq!(draining.request_count(), before, "calls still reached it");
@@ -85,10 +87,10 @@
     let second = site.start_instance_with_peers("n2", &[&first]);
     second.wait_until_ready().await;
     draining.announce_draining("1");
-    let mut tries = 0;
+    let mut attempts = 0;
     wait_until("a request reached it", async || {
-        tries += 1;
-        send_request(first.generation(2, &format!("first-{tries}"))).await;
+        attempts += 1;
+        send_request(first.generation(2, &format!("first-{attempts}"))).await;
         draining.request_count() > 0
     })
     .await;
@@ -100,8 +102,8 @@
     }
     let before = draining.request_count();
     for (number, instance) in [&first, &second].into_iter().cycle().take(20).enumerate() {
-        let answer = send_request(instance.generation(2, &format!("after-{number}"))).await;
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = send_request(instance.generation(2, &format!("after-{number}"))).await;
+        assert_eq!(response.status, 200, "{response:?}");
     }
     assert_eq!(
         draining.request_count(),
@@ -137,8 +139,8 @@
     second.wait_until_ready().await;
     let instances = [&first, &second];
     for (number, instance) in instances.into_iter().cycle().take(16).enumerate() {
-        let answer = send_request(instance.generation(2, &format!("g-{number}"))).await;
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = send_request(instance.generation(2, &format!("g-{number}"))).await;
+        assert_eq!(response.status, 200, "{response:?}");
         // Longer than the owner avoids an engine after a refusal.
         tokio::time::sleep(Duration::from_millis(450)).await;
     }
@@ -159,9 +161,9 @@
     }
     for number in 0..20 {
         let id = format!("call-{number}");
-        let answer = instance.call("/calls/a", &id).await;
-        assert_eq!(answer.status, 503, "{answer:?}");
-        assert!(answer.retry_after.is_some(), "{answer:?}");
+        let response = instance.call("/calls/a", &id).await;
+        assert_eq!(response.status, 503, "{response:?}");
+        assert!(response.retry_after.is_some(), "{response:?}");
         assert!(site.standin.servers_that_ran(&id).is_empty());
     }
     for app in &site.apps {
@@ -186,22 +188,22 @@
     app.set_cooldown(Some("0.4"));
     assert_eq!(instance.call("/calls/a", "refused").await.status, 503);
     app.set_fault(ServerFault::None);
-    let answer = instance.call("/calls/a", "waits").await;
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = instance.call("/calls/a", "waits").await;
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 /// Decodes the signals in a response head with these headers.
 fn signals_of(status: u16, headers: &[(&str, &str)]) -> EndpointSignals {
-    let answer = Response::builder().status(status);
-    let answer = headers
-        .iter()
-        .fold(answer, |answer, (name, value)| answer.header(*name, *value));
-    let (parts, ()) = answer.body(()).expect("an answer").into_parts();
+    let response = Response::builder().status(status);
+    let response = headers.iter().fold(response, |response, (name, value)| {
+        response.header(*name, *value)
+    });
+    let (parts, ()) = response.body(()).expect("a response").into_parts();
     engine::decode_response_head(&parts).signals
 }
 
 #[test]
-fn decode_answer_draining_for_any_status() {
+fn decode_response_head_draining_for_any_status() {
     for status in [200, 404, 421, 500, 503, 504] {
         let signals = signals_of(status, &[("server-leaving", "1")]);
         assert!(signals.draining, "{status}");
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn decode_answer_cooldown_only_for_refusals() {
+fn decode_response_head_cooldown_only_for_refusals() {
     let cooldown_of = |status, text| signals_of(status, &[("retry-after", text)]).cooldown;
     let seconds = |seconds| Some(Duration::from_secs_f64(seconds));
     assert_eq!(cooldown_of(503, "3"), seconds(3.0));
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn decode_answer_limit_for_any_status() {
+fn decode_response_head_limit_for_any_status() {
     let limit_of = |status, text| signals_of(status, &[("server-limit", text)]).limit;
     for status in [200, 404, 500, 503, 504] {
         assert_eq!(limit_of(status, "3.3"), LimitSignal::PerS(3.3), "{status}");
@@ -258,14 +260,14 @@
 }
 
 #[test]
-fn answer_headers_endpoint_signals_not_forwarded() {
+fn caller_response_headers_endpoint_signals_not_forwarded() {
     let is_retry_after_forwarded = |status: u16| {
-        let answer = Response::builder().status(status).header("x-own", "1");
-        let answer = answer
+        let response = Response::builder().status(status).header("x-own", "1");
+        let response = response
             .header("retry-after", "7")
             .header("server-leaving", "1")
             .header("server-limit", "2");
-        let (parts, ()) = answer.body(()).expect("an answer").into_parts();
+        let (parts, ()) = response.body(()).expect("a response").into_parts();
         let headers = engine::caller_response_headers(&parts);
         assert!(headers.contains_key("x-own"));
         assert!(!headers.contains_key("server-leaving"));
@@ -295,19 +297,19 @@
         (&engines[1], &engines[0])
     };
     draining.announce_draining("1");
-    let mut tries = 0;
+    let mut attempts = 0;
     wait_until("known", async || {
-        tries += 1;
+        attempts += 1;
         // Several at once, so that some go to each engine.
         let short =
-            |number| send_request(instance.generation(4, &format!("short-{number}-{tries}")));
+            |number| send_request(instance.generation(4, &format!("short-{number}-{attempts}")));
         tokio::join!(short(1), short(2), short(3));
         instance.endpoint_availability(draining).await == "leaving"
     })
     .await;
-    let answer = long.await.expect("answered");
-    assert!(answer.is_complete, "{answer:?}");
-    let numbers = event_numbers(&answer.body);
+    let response = long.await.expect("answered");
+    assert!(response.is_complete, "{response:?}");
+    let numbers = event_numbers(&response.body);
     assert_eq!(numbers, (1..=200).collect::<Vec<u32>>());
     assert!(
         other.request_headers("long").is_some(),
@@ -355,7 +357,7 @@
 /// An unknown header is logged whichever response it came with: of a call, a refusal, a generation
 /// or the store. Reports and move orders are decoded by the same function.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_header_unknown_logged_once_for_any_response() {
+async fn response_header_unknown_logged_once_for_any_kind() {
     let site = RoutedSite::start(2).await;
     site.apps[0].add_unknown_header("x-of-a-call");
     site.apps[1].add_unknown_header("x-of-a-refusal");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -64,11 +64,11 @@
         calls.push(tokio::spawn(send_request(request)));
         tokio::time::sleep(pause).await;
     }
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for call in calls {
-        answers.push(call.await.expect("caller task failed"));
+        responses.push(call.await.expect("caller task failed"));
     }
-    answers
+    responses
 }
 
 fn assert_limit_kept(server: &Arc<Server>, announced_at: Instant) {
@@ -90,17 +90,20 @@
     for app in &site.apps[..2] {
         app.announce_limit(Some(LIMIT));
     }
-    let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
+    let responses = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
     })
     .await;
     for app in &site.apps[..2] {
         assert_limit_kept(app, announced_at);
     }
-    let served = answers.iter().filter(|answer| answer.status == 200).count();
+    let served = responses
+        .iter()
+        .filter(|response| response.status == 200)
+        .count();
     assert_eq!(
         served,
-        answers.len(),
+        responses.len(),
         "the endpoint without a limit can serve all"
     );
 }
@@ -117,17 +120,20 @@
     for engine in &engines[..2] {
         engine.announce_limit(Some(LIMIT));
     }
-    let answers = call_steadily(&instances, Duration::from_millis(50), |caller, id| {
+    let responses = call_steadily(&instances, Duration::from_millis(50), |caller, id| {
         caller.generation(4, id)
     })
     .await;
     for engine in &engines[..2] {
         assert_limit_kept(engine, announced_at);
     }
-    let served = answers.iter().filter(|answer| answer.status == 200).count();
+    let served = responses
+        .iter()
+        .filter(|response| response.status == 200)
+        .count();
     assert_eq!(
         served,
-        answers.len(),
+        responses.len(),
         "the endpoint without a limit can serve all"
     );
 }
@@ -142,26 +148,27 @@
     for app in &site.apps {
         app.announce_limit(Some(LIMIT));
     }
-    let answers = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
+    let responses = call_steadily(&instances, Duration::from_millis(33), |caller, id| {
         caller.request("/calls/a", id)
     })
     .await;
     for app in &site.apps {
         assert_limit_kept(app, announced_at);
     }
-    let (served, refused): (Vec<_>, Vec<_>) =
-        answers.iter().partition(|answer| answer.status == 200);
+    let (served, refused): (Vec<_>, Vec<_>) = responses
+        .iter()
+        .partition(|response| response.status == 200);
     assert!(!served.is_empty());
-    for answer in &refused {
-        assert_eq!(answer.status, 503, "{answer:?}");
-        let retry_after_s = answer.retry_after.unwrap_or_default();
+    for response in &refused {
+        assert_eq!(response.status, 503, "{response:?}");
+        let retry_after_s = response.retry_after.unwrap_or_default();
         assert!(
             retry_after_s >= 0.1,
-            "{answer:?}: an earlier retry meets the same congestion"
+            "{response:?}: an earlier retry meets the same congestion"
         );
     }
     let ran = |number: usize| site.standin.servers_that_ran(&format!("r{number}")).len();
-    let ran = (0..answers.len()).map(ran).sum::<usize>();
+    let ran = (0..responses.len()).map(ran).sum::<usize>();
     assert_eq!(ran, served.len(), "a refused request ran");
 }
 
@@ -190,10 +197,10 @@
     wait_until_known(false).await;
     let before = app.request_count();
     for number in 0..40 {
-        let answer = instances[0]
+        let response = instances[0]
             .call("/calls/a", &format!("after-{number}"))
             .await;
-        assert_eq!(answer.status, 200);
+        assert_eq!(response.status, 200);
     }
     assert!(app.request_count() > before);
 }
--- a/tests/promise_leaving.rs
+++ b/tests/promise_leaving.rs
@@ -187,8 +187,8 @@
 
 async fn wait_until_stopped(instance: &mut Process) {
     wait_until("the instance has stopped", || {
-        let ended = instance.exit_success();
-        async move { ended == Some(true) }
+        let exit_success = instance.exit_success();
+        async move { exit_success == Some(true) }
     })
     .await;
 }
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Open connections that go silent for good, without a reset, while new connections work.
+//! Open connections that go silent permanently, without a reset, while new connections work.
 //!
 //! A silent connection shows only in responses that do not arrive, and each idle one cost a call,
 //! one after the other. With 8 idle connections, the second call of the store client was lost as
@@ -46,28 +46,28 @@
     let (_one, one) = site.start_app_behind_proxy().await;
     let (_other, other) = site.start_app_behind_proxy().await;
     let instance = site.start_instance("n1").await;
-    let open_idle_then_silence = async |round: &str| {
+    let silence_idle_connections = async |round: &str| {
         let concurrent = (0..2 * CONNECTIONS).map(|number| {
             let id = format!("{round}{number}");
             send_request(instance.request("/once/1", &id))
         });
-        for answer in join_all(concurrent).await {
-            assert_eq!(answer.status, 200);
+        for response in join_all(concurrent).await {
+            assert_eq!(response.status, 200);
         }
         // Connections are reused only after a short idle time.
         tokio::time::sleep(Duration::from_millis(100)).await;
         one.blackhole_open_connections();
         other.blackhole_open_connections();
     };
-    open_idle_then_silence("a").await;
+    silence_idle_connections("a").await;
     for number in 0..10 {
-        let answer = instance.call("/calls/1", &format!("r{number}")).await;
+        let response = instance.call("/calls/1", &format!("r{number}")).await;
         assert_eq!(
-            answer.status, 200,
-            "a call that may be repeated: {answer:?}"
+            response.status, 200,
+            "a call that may be repeated: {response:?}"
         );
     }
-    open_idle_then_silence("b").await;
+    silence_idle_connections("b").await;
     let mut statuses = Vec::new();
     for number in 0..10 {
         let id = format!("o{number}");
@@ -88,9 +88,9 @@
     let site = RoutedSite::start(0).await;
     let (engine, proxy) = site.start_engine_behind_proxy().await;
     let instance = site.start_instance("n1").await;
-    let is_complete = |answer: &support::site::HttpResponse| {
+    let is_complete = |response: &support::site::HttpResponse| {
         let expected: Vec<u32> = (1..=EVENTS).collect();
-        answer.is_complete && event_numbers(&answer.body) == expected
+        response.is_complete && event_numbers(&response.body) == expected
     };
     let other = site.start_engine().await;
     other.set_fault(ServerFault::Refuses);
@@ -103,8 +103,8 @@
     wait_until("running", async || engine.running_count() == 1).await;
     proxy.blackhole_open_connections();
     other.set_fault(ServerFault::None);
-    let answer = running.await.expect("answered");
-    assert!(is_complete(&answer), "{answer:?}");
+    let response = running.await.expect("answered");
+    assert!(is_complete(&response), "{response:?}");
     assert_eq!(
         site.standin.servers_that_ran("used").len(),
         1,
@@ -113,13 +113,13 @@
     // In use, before the first event arrives.
     proxy.set_mode(LinkMode::ResponsesStalled);
     other.set_fault(ServerFault::Refuses);
-    let begun = tokio::spawn(send_request(instance.generation(EVENTS, "begun")));
+    let in_progress = tokio::spawn(send_request(instance.generation(EVENTS, "begun")));
     wait_until("begun", async || engine.running_count() == 1).await;
     proxy.blackhole_open_connections();
     proxy.set_mode(LinkMode::Normal);
     other.set_fault(ServerFault::None);
-    let answer = begun.await.expect("answered");
-    assert!(is_complete(&answer), "{answer:?}");
+    let response = in_progress.await.expect("answered");
+    assert!(is_complete(&response), "{response:?}");
     assert_eq!(
         site.standin.servers_that_ran("begun").len(),
         1,
@@ -149,7 +149,7 @@
     proxy.blackhole_open_connections();
     let concurrent =
         (0..4).map(|number| send_request(instance.generation(EVENTS, &format!("g{number}"))));
-    for answer in join_all(concurrent).await {
-        assert!(is_complete(&answer), "{answer:?}");
+    for response in join_all(concurrent).await {
+        assert!(is_complete(&response), "{response:?}");
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -460,7 +460,7 @@
 
     /// Restores the store from a snapshot of some age.
     ///
-    /// The operator and the servers repeat their lost writes a moment later.
+    /// The operator and the servers repeat their lost writes shortly afterwards.
     fn restore_store(self: &Arc<Self>, random: &mut StdRng, age: Duration) {
         let snapshot = self.site.standin.store.snapshot();
         let replay_delay = Duration::from_millis(random.random_range(0..400));
--- a/tests/store_copies.rs
+++ b/tests/store_copies.rs
@@ -94,8 +94,8 @@
     .await;
     for number in 0..20 {
         assert_eq!(instance.endpoint_availability(app).await, "evacuated");
-        let answer = instance.call("/once/a", &format!("still-{number}")).await;
-        assert_eq!(answer.status, 401, "{answer:?}");
+        let response = instance.call("/once/a", &format!("still-{number}")).await;
+        assert_eq!(response.status, 401, "{response:?}");
     }
     site.standin.store.replay_lost_writes(&before);
     site.standin.publish(4, &[KEY]);
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -122,7 +122,7 @@
         self.mode.send_replace(mode);
     }
 
-    /// Stops forwarding on all connections that are open now, for good, without closing them.
+    /// Permanently stops forwarding on all connections that are open now, without closing them.
     ///
     /// Connections opened later are not affected.
     pub fn blackhole_open_connections(&self) {
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -50,8 +50,8 @@
     wait_until("sent", async || site.apps[0].request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
     wait_until("answered", async || calling.is_finished()).await;
-    let answer = calling.await.expect("answered");
-    assert_eq!(answer.status, 504, "{answer:?}");
+    let response = calling.await.expect("answered");
+    assert_eq!(response.status, 504, "{response:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -64,8 +64,8 @@
     wait_until("sent", async || engine.request_count() == 1).await;
     instance.clock.suspend(SUSPENSION);
     wait_until("answered", async || calling.is_finished()).await;
-    let answer = calling.await.expect("answered");
-    assert_eq!(answer.status, 504, "{answer:?}");
+    let response = calling.await.expect("answered");
+    assert_eq!(response.status, 504, "{response:?}");
 }
 
 /// A request is not sent after its deadline, however late that is noticed.
@@ -78,7 +78,7 @@
     instance.clock.suspend(SUSPENSION);
     let engine = site.start_engine().await;
     wait_until("answered", async || calling.is_finished()).await;
-    let answer = calling.await.expect("answered");
-    assert_eq!(answer.status, 503, "{answer:?}");
+    let response = calling.await.expect("answered");
+    assert_eq!(response.status, 503, "{response:?}");
     assert_eq!(engine.request_count(), 0);
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -55,13 +55,13 @@
         wait_for_peers(instance, 2).await;
         wait_until_serving(instance).await;
     }
-    let answer = get_json(format!(
+    let response = get_json(format!(
         "http://{}/v1/entries",
         instances[0].address("caller")
     ))
     .await;
-    assert!(answer["valid_for_ms"].as_u64().is_some());
-    let entries = answer["entries"].as_array().expect("entries");
+    assert!(response["valid_for_ms"].as_u64().is_some());
+    let entries = response["entries"].as_array().expect("entries");
     assert_eq!(entries.len(), 3);
     assert_eq!(
         entries[0]["hall"], "recife-1",
@@ -276,8 +276,8 @@
             .success()
     );
     wait_until("the instance has stopped", || {
-        let ended = instance.exit_success();
-        async move { ended == Some(true) }
+        let has_exited = instance.exit_success();
+        async move { has_exited == Some(true) }
     })
     .await;
 }
