--- a/src/daemon/app.rs
+++ b/src/daemon/app.rs
@@ -130,7 +130,7 @@
                 .add_service(service)
                 .serve_with_incoming(incoming);
             if let Err(error) = served.await {
-                spdlog::error!("server for peers failed: {}", error);
+                spdlog::error!("peer server failed: {}", error);
             }
         }));
     }
--- a/src/daemon/endpoints.rs
+++ b/src/daemon/endpoints.rs
@@ -204,7 +204,7 @@
     }
 }
 
-/// Returns whether an endpoint is leaving.
+/// Returns whether an endpoint is known to be leaving.
 ///
 /// If its incarnation is unknown, any departure under its name counts.
 pub(crate) fn is_departed(node: &Node, name: &str, incarnation: Option<Uuid>) -> bool {
--- a/src/daemon/engine_selection.rs
+++ b/src/daemon/engine_selection.rs
@@ -63,8 +63,11 @@
 impl Node {
     /// Selects an engine for a generation.
     ///
-    /// Returns [`ErrorKind::NoEndpoint`] if no allowed endpoint can serve the request. If all groups
-    /// that could serve it are full, waits in the queue of one and returns that group's error.
+    /// If all groups that could serve the request are full, waits in the queue of one of them.
+    ///
+    /// # Errors
+    /// Returns [`ErrorKind::NoEndpoint`] if no allowed endpoint can serve the request, the error of
+    /// the group in whose queue it waited, or an error of [`Catalog::allowed_endpoints`].
     pub(crate) async fn select_engine(
         self: &Arc<Self>,
         request: &SelectionRequest<'_>,
@@ -107,7 +110,7 @@
         halls
     }
 
-    /// Applies the policy in this entry alone, hall by hall, without a reservation.
+    /// Selects an endpoint by the policy in this entry alone, hall by hall, without a reservation.
     fn select_without_owner(
         &self,
         catalog: &Catalog,
@@ -202,7 +205,7 @@
             hall_groups.shuffle(&mut rand::rng());
             groups.append(&mut hall_groups);
         }
-        // Groups without a live endpoint must not use up the limited number of tries.
+        // Groups without a live endpoint must not use up the limited number of attempts.
         groups.sort_by_key(|group| self.is_recently_empty(&group.name));
         groups.truncate(GROUPS_TRIED_MAX);
         groups
--- a/src/daemon/member_loop.rs
+++ b/src/daemon/member_loop.rs
@@ -114,7 +114,7 @@
     .await
         && let Err(error) = handle_heartbeat(&node, reply)
     {
-        warn!("invalid heartbeat in reply from peer: {}", error);
+        warn!("invalid heartbeat reply: {}", error);
     }
 }
 
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,7 +1,7 @@
 //! The process log, written as JSON lines.
 //!
-//! A separate thread writes the lines. When its queue is full, new lines are dropped so that
-//! logging never blocks.
+//! A separate thread writes the lines. When its queue is full, lines are dropped, so that logging
+//! never blocks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/tool/instance.rs
+++ b/src/tool/instance.rs
@@ -15,7 +15,7 @@
     Ok(response.error_for_status()?.json().await?)
 }
 
-/// Starts a graceful shutdown of an instance.
+/// Begins a planned stop (drain) of an instance.
 ///
 /// # Errors
 /// Fails if the instance cannot be reached or responds with an error status.
