--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -113,7 +113,7 @@
     let crashed = crashing.crashed();
     assert!(
         crashed <= CRASHED_MAX,
-        "{crashed} engines crashed in {ATTEMPTS} tries"
+        "{crashed} engines crashed in {ATTEMPTS} attempts"
     );
     assert_refused_is_not_run(&crashing.site, &responses);
     let last: BTreeSet<u16> = responses[ATTEMPTS as usize - 3..]
@@ -185,8 +185,11 @@
         standin.list_server_with(&engine, &json!({"version": "v2"}));
     }
     crashing.call_in_turn("/chat/2", ATTEMPTS).await;
-    let more = crashing.crashed() - crashed;
-    assert!(more <= 1, "{more} engines of the new software crashed");
+    let further_crashes = crashing.crashed() - crashed;
+    assert!(
+        further_crashes <= 1,
+        "{further_crashes} engines of the new software crashed"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -254,8 +257,8 @@
     let instance = &crashing.instances[0];
     crashing.call_in_turn("/chat/2", 1).await;
     let crashed = crashing.site.standin.crashed_servers();
-    // The first one lasts until the last generation of the engine is forgotten there; from then on
-    // the engine looks the least loaded.
+    // The first generation runs until the instance no longer counts the one that crashed the engine
+    // against that engine, which then looks the least loaded.
     for (number, events) in [80, 2, 2, 2].into_iter().enumerate() {
         let response = send_request(instance.generation(events, &format!("after-{number}"))).await;
         assert_eq!(response.status, 200, "{response:?}");
@@ -309,7 +312,7 @@
             == 503
     })
     .await;
-    let began_at = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for instance in &instances {
         wait_until("known", async || {
             let known = instance.operator_json("/suspects").await;
@@ -319,7 +322,7 @@
     }
     println!(
         "{count} instances knew {} ms after the first",
-        began_at.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     let crashed = site.standin.crashed_servers().len();
     assert_eq!(crashed, 3, "all of them under the first three attempts");
@@ -344,7 +347,7 @@
             "{path}: {crashed} endpoints crashed"
         );
         assert_refused_is_not_run(&crashing.site, &responses);
-        let (_, last) = responses.last().expect("answers");
+        let (_, last) = responses.last().expect("responses");
         assert_eq!(last.status, 503, "{path}: {last:?}");
         assert!(last.retry_after.is_some(), "{path}: {last:?}");
     }
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -1,5 +1,6 @@
 //! Open connections that stop delivering data permanently, without a reset, while new connections
 //! work.
+
 //!
 //! A silent connection shows only in responses that do not arrive, and each idle one cost a call,
 //! one after the other. With 8 idle connections, the second call of the store client was lost as
@@ -47,7 +48,7 @@
     let (_one, one) = site.start_app_behind_proxy().await;
     let (_other, other) = site.start_app_behind_proxy().await;
     let instance = site.start_instance("n1").await;
-    let open_idle_then_silence = async |round: &str| {
+    let silence_idle_connections = async |round: &str| {
         let concurrent = (0..2 * CONNECTIONS).map(|number| {
             let id = format!("{round}{number}");
             send_request(instance.request("/once/1", &id))
@@ -60,12 +61,12 @@
         one.blackhole_open_connections();
         other.blackhole_open_connections();
     };
-    open_idle_then_silence("a").await;
+    silence_idle_connections("a").await;
     for number in 0..10 {
         let response = instance.call("/calls/1", &format!("r{number}")).await;
         assert_eq!(response.status, 200, "a repeatable call: {response:?}");
     }
-    open_idle_then_silence("b").await;
+    silence_idle_connections("b").await;
     let mut statuses = Vec::new();
     for number in 0..10 {
         let id = format!("o{number}");
