--- a/src/daemon/generation.rs
+++ b/src/daemon/generation.rs
@@ -268,7 +268,7 @@
         let request = start.generation_request(&attempt, &selected);
         let request_id = request.request_id;
         let attempt_id = request.attempt_id;
-        info!("sending request to endpoint", kv: { request_id:, attempt_id:, endpoint = name.as_str() });
+        info!("attempt", kv: { request_id:, attempt_id:, endpoint = name.as_str() });
         let mut stream = client.generate(attempt, &request).await?;
         let Some(Ok(EngineEvent::Started(started))) = stream.next().await else {
             return Err(AttemptFailure::MayHaveRun(generation_lost(
--- a/src/daemon/service_call.rs
+++ b/src/daemon/service_call.rs
@@ -78,7 +78,7 @@
         let attempt = UnsentAttempt::default();
         let attempt_id = attempt.attempt_id;
         let request_id = request.request_id;
-        info!("sending request to endpoint", kv: {
+        info!("attempt", kv: {
             request_id:,
             attempt_id:,
             endpoint = endpoint.name.as_str(),
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -1,6 +1,5 @@
 //! Open connections that stop delivering data permanently, without a reset, while new connections
 //! work.
-
 //!
 //! A silent connection shows only in responses that do not arrive, and each idle one cost a call,
 //! one after the other. With 8 idle connections, the second call of the store client was lost as
