--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -193,7 +193,7 @@
         is_valid
     }
 
-    /// Evicts expired permits, limits of unknown endpoints, and what this instance issued for
+    /// Evicts expired permits and denials, limits of unknown endpoints, and what was issued for
     /// endpoints without a limit.
     pub(super) fn prune(&self, is_known: impl Fn(&str) -> bool) {
         let now = self.clock.now();
