--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -47,7 +47,8 @@
 /// Prior for how long engines stay full once they are.
 ///
 /// With a `Retry-After` of 1 s, 90 of 1,450 generations were finally refused instead of 55, and the
-/// score fell by 0.016 (two days with bursts and dead engines, six seeds each).
+/// mean worth (the mean value of the answers of a simulated day, from 0 to 1) fell by 0.016 (two
+/// days with bursts and dead engines, six seeds each).
 const EXPECTED_OVERLOAD_DURATION: Duration = Duration::from_secs(5);
 /// Lower end of the random `Retry-After`, as a share of its upper end. The spread keeps callers
 /// from retrying at the same moment.
--- a/src/gateway/shared_store/bootstrap.rs
+++ b/src/gateway/shared_store/bootstrap.rs
@@ -35,8 +35,9 @@
     /// concurrently from the store and from peers that are starting too, else stale data from any
     /// member.
     ///
-    /// Raised the score by 0.008 (+-0.0035, mean of six paired seeds) on a day that ends with the
-    /// loss of all instances during an outage of the store.
+    /// Raised the mean worth (the mean value of the answers of a simulated day, from 0 to 1) by
+    /// 0.008 (+-0.0035, mean of six paired seeds) on a day that ends with the loss of all instances
+    /// during an outage of the store.
     pub(super) async fn bootstrap(
         &self,
         subject: Subject,
--- a/src/kernel/evacuation.rs
+++ b/src/kernel/evacuation.rs
@@ -163,7 +163,7 @@
     /// Returns the set to send to other members: the halls according to the log, without those held
     /// here.
     #[must_use]
-    pub fn logged(&self) -> &EvacuatedHalls {
+    pub fn for_members(&self) -> &EvacuatedHalls {
         &self.logged
     }
 }
--- a/src/kernel/fairness.rs
+++ b/src/kernel/fairness.rs
@@ -10,7 +10,7 @@
 
 /// Recent token usage per account, divided by the share of the account.
 ///
-/// Usage decays exponentially with [`USAGE_HALF_LIFE`].
+/// Usage decays exponentially with `USAGE_HALF_LIFE`.
 #[derive(Debug, Default)]
 pub struct AccountUsage {
     by_account: HashMap<String, f64>,
@@ -30,7 +30,7 @@
         *self.by_account.entry(account.to_owned()).or_default() += used;
     }
 
-    /// Decays all usage, at most once per [`DECAY_INTERVAL`].
+    /// Decays all usage, at most once per `DECAY_INTERVAL`.
     pub fn decay(&mut self, now: Duration) {
         let elapsed = now.saturating_sub(self.decayed_at);
         if elapsed < DECAY_INTERVAL {
--- a/src/kernel/fleet.rs
+++ b/src/kernel/fleet.rs
@@ -195,7 +195,7 @@
     /// Returns the evacuated halls in the form that is sent to other members.
     #[must_use]
     pub fn evacuated_halls(&self) -> &EvacuatedHalls {
-        self.halls.logged()
+        self.halls.for_members()
     }
 
     /// Treats the endpoints of a hall as cold for the time that their services specify, since they
--- a/tests/kernel/evacuation.rs
+++ b/tests/kernel/evacuation.rs
@@ -46,7 +46,7 @@
             let index = index.index(sets.len());
             latest = latest.max(index);
             halls.merge(&sets[index], Duration::ZERO);
-            prop_assert_eq!(halls.logged(), &sets[latest]);
+            prop_assert_eq!(halls.for_members(), &sets[latest]);
             let named = (0..4).map(|hall| format!("hall-{hall}"));
             for hall in named {
                 let is_evacuated = sets[latest].halls.contains(&hall);
@@ -61,11 +61,11 @@
         for order in &orders {
             halls.apply_order(order, Duration::ZERO);
         }
-        let known = halls.logged().clone();
+        let known = halls.for_members().clone();
         for order in &orders {
             prop_assert!(halls.apply_order(order, Duration::ZERO).is_empty());
         }
-        prop_assert_eq!(halls.logged(), &known);
+        prop_assert_eq!(halls.for_members(), &known);
     }
 }
 
@@ -211,7 +211,7 @@
         for step in steps {
             let before: Vec<Position> = readers
                 .iter()
-                .map(|reader| reader.logged().complete_to)
+                .map(|reader| reader.for_members().complete_to)
                 .collect();
             match step {
                 Step::Order { hall, evacuate } => log.append(hall, evacuate),
@@ -232,12 +232,12 @@
                     readers[reader].merge(&log.full_set(), NOW);
                 }
                 Step::Send { from, to } => {
-                    let sent = readers[from].logged().clone();
+                    let sent = readers[from].for_members().clone();
                     readers[to].merge(&sent, NOW);
                 }
             }
             for (reader, before) in readers.iter().zip(before) {
-                let logged = reader.logged();
+                let logged = reader.for_members();
                 prop_assert!(logged.complete_to >= before);
                 let never_read = *logged == EvacuatedHalls::default();
                 prop_assert!(
@@ -250,7 +250,7 @@
         for reader in &mut readers {
             reader.merge(&log.full_set(), NOW);
             reader.refresh(later);
-            prop_assert_eq!(reader.logged(), &log.full_set());
+            prop_assert_eq!(reader.for_members(), &log.full_set());
             for hall in (0..3).map(|hall| format!("hall-{hall}")) {
                 let is_evacuated = log.full_set().halls.contains(&hall);
                 prop_assert_eq!(reader.since(&hall).is_some(), is_evacuated);
